--- a/features/steps/hosted_batch_calls_steps.py
+++ b/features/steps/hosted_batch_calls_steps.py
@@ -98,22 +98,26 @@
 @then("its results are read from any position, its bodies until they are listed")
 def then_read(context):
     body_call = call("GET", "/api/items/job", query="id=item-1")
-    assert context.api.serve_call(body_call).body == b"prompt"
+    assert context.api.serve_job_request(body_call).body == b"prompt"
     results = tuple(ItemResult(f"item-{at}", True, "text", (1, 2), "s") for at in (1, 0))
     context.ledger.submit("", RecordResults("job", results), 1.0)
-    assert context.api.serve_call(body_call).status == 404
-    page = json.loads(context.api.serve_call(call("GET", "/api/lots/job", query="after=1")).body)
+    assert context.api.serve_job_request(body_call).status == 404
+    page = json.loads(
+        context.api.serve_job_request(call("GET", "/api/lots/job", query="after=1")).body
+    )
     result = {"id": "item-0", "state": "completed", "text": "text", "versions": [1, 2]}
     assert page == {"total": 3, "next": 2, "results": [{**result, "score": "s"}]}
-    empty = context.api.serve_call(call("GET", "/api/lots/job", query="after=2", wait_ms="100"))
+    empty = context.api.serve_job_request(
+        call("GET", "/api/lots/job", query="after=2", wait_ms="100")
+    )
     assert json.loads(empty.body) == {"total": 3, "next": 2, "results": []}
-    assert context.api.serve_call(call("GET", "/api/lots/none")).status == 404
+    assert context.api.serve_job_request(call("GET", "/api/lots/none")).status == 404
 
 
 @then("it is ended with 200, as often as that is asked")
 def then_ended(context):
     for _ in range(2):
-        assert context.api.serve_call(call("DELETE", "/api/lots/job")).status == 200
+        assert context.api.serve_job_request(call("DELETE", "/api/lots/job")).status == 200
     assert not context.ledger.machine.jobs["job"].is_open
 
 
@@ -173,7 +177,7 @@
                 ledger.submit("", RecordResults("job", tuple(made)), 1.0)
                 continue
             ledger.leading = what == "read"
-            answer = api.serve_call(call("GET", "/api/lots/job", query=f"after={number}"))
+            answer = api.serve_job_request(call("GET", "/api/lots/job", query=f"after={number}"))
             ledger.leading = True
             if answer.status == 503:
                 assert what == "outage"
@@ -220,7 +224,7 @@
             # A gateway that has read nothing yet: its cache would answer for both.
             api = BatchApi(ledger, HEADERS, PATHS)
             ledger.leading, ledger.asked = what == "read", []
-            answer = api.serve_call(call("GET", "/api/lots/job", query=f"after={number}"))
+            answer = api.serve_job_request(call("GET", "/api/lots/job", query=f"after={number}"))
             ledger.leading = True
             if answer.status == 503:
                 assert what == "outage"
@@ -245,8 +249,8 @@
         # What a worker streams need not be text in the strict sense.
         text += cut.decode("utf-8", "surrogateescape")
         assert unpack_text(pack_text(text)) == text
-        assert ItemResult.made("i", True, text, (1,)).whole_text == text
-        assert ItemResult("i", True, text, (1,)).whole_text == text
+        assert ItemResult.from_text("i", True, text, (1,)).full_text == text
+        assert ItemResult("i", True, text, (1,)).full_text == text
 
     packed()
 
@@ -256,8 +260,8 @@
     ledger = MemoryLedger()
     api = BatchApi(ledger, HEADERS, PATHS)
     ledger.submit("", AcceptJob(make_job("job", 30, 1)), 1.0)
-    made = tuple(ItemResult.made(f"job-{at}", True, "a" * 50_000, (1,)) for at in range(30))
+    made = tuple(ItemResult.from_text(f"job-{at}", True, "a" * 50_000, (1,)) for at in range(30))
     ledger.submit("", RecordResults("job", made), 1.0)
-    answer = api.serve_call(call("GET", "/api/lots/job", query="after=0"))
+    answer = api.serve_job_request(call("GET", "/api/lots/job", query="after=0"))
     assert len(answer.body) <= PAGE_BYTES + 1_000
     assert json.loads(answer.body)["next"] == 13
--- a/features/steps/hosted_batches_steps.py
+++ b/features/steps/hosted_batches_steps.py
@@ -21,7 +21,7 @@
     ReadItem,
     ReadResults,
     RecordResults,
-    TextPart,
+    TextCheckpoint,
 )
 from bellweir.hosted.batches.texts import pack_text
 from bellweir.hosted.event_stream import EventSplitter, StreamEvent
@@ -232,7 +232,9 @@
             context.unplaced.add(progress.item.id)
         if progress.item.id not in context.unplaced:
             return take_worker(progress, table)
-        progress.failed_at = [Incarnation(each.instance) for each in context.leader.models]
+        progress.generation_failures = [
+            Incarnation(each.instance) for each in context.leader.models
+        ]
         return None
 
     choice.take_worker = take
@@ -265,7 +267,7 @@
 @given_step("a worker that refuses all runs for a second, which is told of")
 def given_told_load(context):
     worker = context.leader.models[0]
-    told = context.leader.coordinator._attempts.refusals.load_told
+    told = context.leader.coordinator._attempts.refusal_backoff.load_told
     # Told of for longer than it lasts, so that only the word of its end brings the runs.
     told(worker.incarnation, MODEL, 4.0)
     worker.refuse_for(1.0)
@@ -494,7 +496,7 @@
     context.wait_until(lambda: len(listed(context)) == wanted, "every item listed")
     for result in listed(context):
         assert result.is_complete
-        assert result.whole_text == text_of(result.item_id, EVENTS)
+        assert result.full_text == text_of(result.item_id, EVENTS)
         assert result.versions == (2,)
         assert result.score == stamp_of(f"score-{result.item_id}")
 
@@ -583,7 +585,7 @@
     context.wait_until(lambda: len(jobs["again"].results) == wanted, "the later job's items")
     for result in jobs["again"].results:
         assert result.is_complete
-        assert result.whole_text == text_of(result.item_id, EVENTS)
+        assert result.full_text == text_of(result.item_id, EVENTS)
         assert result.score == stamp_of(f"score-{result.item_id}")
     return jobs["again"].results
 
@@ -630,7 +632,9 @@
             if what == "keep":
                 item, after, events = value
                 text = "\n".join(str(number) for number in range(after, after + events))
-                made = TextPart(f"job-{item}", after, events, after + events, pack_text(text), (1,))
+                made = TextCheckpoint(
+                    f"job-{item}", after, events, after + events, pack_text(text), (1,)
+                )
                 machine.apply(KeepParts("job", (made,)))
                 chain = chains[item]
                 if chain is not None and is_open:
@@ -650,13 +654,13 @@
                 saved, machine = machine.save(), BatchJobs()
                 machine.load(saved)
             for item, chain in chains.items():
-                found = machine.jobs["job"].parts.get(f"job-{item}", ())
+                found = machine.jobs["job"].checkpoints.get(f"job-{item}", ())
                 wanted = chain if chain and is_open else []
                 assert [(part.after + part.events) for part in found] == [end for end, _ in wanted]
                 progress = ItemProgress(
                     make_job("job", 2, 1), ROUTE, make_job("job", 2, 1).items[0]
                 )
-                if progress.go_on_from(found):
+                if progress.resume_from(found):
                     numbers = "\n".join(progress.pieces).split("\n")
                     assert numbers == [str(number) for number in range(progress.events)]
                     assert progress.last_event_id == progress.events
@@ -666,7 +670,7 @@
 
 @given_step("parts of texts are kept every {seconds:g} seconds")
 def given_parts(context, seconds):
-    context.leader.coordinator._attempts.keep_period_s = seconds
+    context.leader.coordinator._attempts.checkpoint_interval_s = seconds
 
 
 @when("another node leads once a part of each text is kept")
@@ -677,9 +681,9 @@
     def are_kept():
         # A text that has its part must not end while another one still waits for its own; a
         # worker with shorter pauses than six usual ones is not silent.
-        if state.parts:
+        if state.checkpoints:
             _set_pauses(context, 1.2)
-        return len(state.parts) == wanted
+        return len(state.checkpoints) == wanted
 
     context.wait_until(are_kept, "a part of each text")
     context.leader.ledger.leading = False
@@ -691,7 +695,7 @@
         "the former leader's runs ended and forgotten",
     )
     context.kept = {
-        item_id: sum(part.events for part in parts) for item_id, parts in state.parts.items()
+        item_id: sum(part.events for part in parts) for item_id, parts in state.checkpoints.items()
     }
     for worker in context.leader.models:
         worker.record.resumed_after.clear()
@@ -732,16 +736,16 @@
 def then_tails(context):
     assert len(context.sent) == len(context.job.items)
     for result in context.sent:
-        assert 0 < result.behind <= EVENTS
+        assert 0 < result.checkpointed_events <= EVENTS
         found = next(each for each in listed(context) if each.item_id == result.item_id)
-        assert len(found.earlier) >= 1
-        assert found.behind == 0
+        assert len(found.compressed_checkpoints) >= 1
+        assert found.checkpointed_events == 0
 
 
 @then("the results sent whole texts after a first try")
 def then_whole_texts(context):
     for item in context.job.items:
-        tries = [result.behind for result in context.sent if result.item_id == item.id]
+        tries = [result.checkpointed_events for result in context.sent if result.item_id == item.id]
         assert tries[0] > 0, "the first try counted on its parts"
         assert tries[-1] == 0
         assert tries.count(0) >= 1
--- a/features/steps/hosted_clocks_steps.py
+++ b/features/steps/hosted_clocks_steps.py
@@ -12,7 +12,7 @@
 from features.support.kept_jobs import STATUS_S, Shard
 from hypothesis import given, settings
 
-from bellweir.hosted.batches.retention import COUNT_PERIOD_S, LOOK_PERIOD_S
+from bellweir.hosted.batches.retention import CHECK_INTERVAL_S, COUNT_INTERVAL_S
 from bellweir.hosted.batches.state import AcceptJob, BatchJobs, EndJob, ForgetJobs, ReadResults
 
 LOOK_TIMEOUT_S = 15.0
@@ -50,9 +50,11 @@
 
 
 TIMES_OF_DAY_S = (-1e9, 0.0, 1e9, 1e12)
-STEADY_S = STATUS_S + 2 * (COUNT_PERIOD_S + LOOK_PERIOD_S)
+STEADY_S = STATUS_S + 2 * (COUNT_INTERVAL_S + CHECK_INTERVAL_S)
 """Longest time for which an ended job is kept where commits take no time and the leader stays."""
-LATEST_S = STATUS_S * (1 + LOOK_PERIOD_S / COUNT_PERIOD_S) + 2 * (COUNT_PERIOD_S + LOOK_PERIOD_S)
+LATEST_S = STATUS_S * (1 + CHECK_INTERVAL_S / COUNT_INTERVAL_S) + 2 * (
+    COUNT_INTERVAL_S + CHECK_INTERVAL_S
+)
 """The same where each count is another leader's."""
 
 
@@ -96,10 +98,10 @@
             shard.now_s += value
         case "go on":
             for _ in range(value):
-                shard.now_s += COUNT_PERIOD_S
-                shard.leader.retention.look()
+                shard.now_s += COUNT_INTERVAL_S
+                shard.leader.retention.check()
         case "look":
-            shard.replicas[value].retention.look()
+            shard.replicas[value].retention.check()
         case "lead":
             shard.leader = shard.replicas[value]
             shard.leader.catch_up()
@@ -124,7 +126,7 @@
     for looks_led in (1, 2, 5, 1_000):
         shard = Shard()
         for number in range(200):
-            shard.now_s += LOOK_PERIOD_S
+            shard.now_s += CHECK_INTERVAL_S
             if number % 7 == 0:
                 shard.end_job(TIMES_OF_DAY_S[number % len(TIMES_OF_DAY_S)])
             shard.leader = shard.replicas[number // looks_led % 3]
@@ -141,23 +143,23 @@
     context.shard = shard = Shard()
     first, second = shard.replicas[:2]
     shard.end_job(0.0)
-    shard.now_s += COUNT_PERIOD_S
+    shard.now_s += COUNT_INTERVAL_S
     shard.look()
     leads = first.leads
 
     def frozen(key):
         is_leading = leads(key)
         shard.leader = second
-        while shard.age_s("job-0") < STATUS_S - COUNT_PERIOD_S:
-            shard.now_s += COUNT_PERIOD_S
+        while shard.age_s("job-0") < STATUS_S - COUNT_INTERVAL_S:
+            shard.now_s += COUNT_INTERVAL_S
             second.catch_up()
-            second.retention.look()
+            second.retention.check()
         first.catch_up()
         return is_leading
 
     with patch.object(first, "leads", frozen):
-        shard.now_s += COUNT_PERIOD_S
-        first.retention.look()
+        shard.now_s += COUNT_INTERVAL_S
+        first.retention.check()
 
 
 @then("the job that ended before is kept for its whole time")
@@ -169,14 +171,16 @@
 def then_room(context):
     shard, largest = Shard(1), 0
     for _ in range(2_000):
-        shard.now_s += LOOK_PERIOD_S
+        shard.now_s += CHECK_INTERVAL_S
         shard.end_job(0.0)
         shard.look()
         machine = shard.leader.machine
-        assert machine.kept.since_ms.keys() <= machine.jobs.keys(), "a forgotten job is noted"
+        assert machine.retention_clock.since_ms.keys() <= machine.jobs.keys(), (
+            "a forgotten job is noted"
+        )
         largest = max(largest, len(machine.jobs))
-    assert largest <= STEADY_S / LOOK_PERIOD_S + 1, largest
-    noted = len(msgspec.json.encode(machine.kept))
+    assert largest <= STEADY_S / CHECK_INTERVAL_S + 1, largest
+    noted = len(msgspec.json.encode(machine.retention_clock))
     assert noted <= 64 * (len(machine.jobs) + 1), noted
 
 
@@ -202,7 +206,7 @@
     shard.append(old_command)
     began_s = shard.now_s
     while "job-0" in shard.leader.machine.jobs:
-        shard.now_s += LOOK_PERIOD_S
+        shard.now_s += CHECK_INTERVAL_S
         shard.look()
         shard.check_kept()
         assert shard.now_s - began_s <= LATEST_S
@@ -218,10 +222,10 @@
     shard.leader = lacking
     shard.end_job(1.0)
     go_on(shard, 5.0)
-    assert 0 < lacking.machine.kept.counted_ms < whole.machine.kept.counted_ms
+    assert 0 < lacking.machine.retention_clock.counted_ms < whole.machine.retention_clock.counted_ms
     shard.leader = whole
     go_on(shard, 5.0)
-    assert lacking.machine.kept.counted_ms == whole.machine.kept.counted_ms
+    assert lacking.machine.retention_clock.counted_ms == whole.machine.retention_clock.counted_ms
     shard.leader = lacking
     go_on(shard, STATUS_S + LATEST_S)
     assert not any(each.machine.jobs for each in shard.replicas)
@@ -231,6 +235,6 @@
     """Let time pass in which all machines look, and no job that is owed goes."""
     until_s = shard.now_s + seconds
     while shard.now_s < until_s:
-        shard.now_s += LOOK_PERIOD_S
+        shard.now_s += CHECK_INTERVAL_S
         shard.look()
         shard.check_kept()
--- a/features/steps/hosted_forwarding_steps.py
+++ b/features/steps/hosted_forwarding_steps.py
@@ -13,7 +13,7 @@
 from features.support.waiting import wait_until
 from hypothesis import given, settings
 
-from bellweir.hosted.batches.attempts import ItemAttempts
+from bellweir.hosted.batches.attempts import ItemRunner
 from bellweir.hosted.batches.progress import ItemProgress
 from bellweir.hosted.interface import Listing, StoredRecord
 from bellweir.hosted.records import Configuration, Route, RouteKind
@@ -247,14 +247,14 @@
     loads = WorkerLoads("a")
     connections = WorkerConnections(HEADERS)
     context.cleanup.callback(connections.forget_others, set())
-    attempts = ItemAttempts(connections, loads)
+    attempts = ItemRunner(connections, loads)
     worker = context.gateway.workers.worker("i-a")
     for number in range(60):
         progress, cancellation = ItemProgress(job, route, job.items[0]), Cancellation()
         loads.take(worker)
         timer = threading.Timer(0.0004 * number, cancellation.cancel)
         timer.start()
-        attempts.run_text(progress, worker, cancellation)
+        attempts.run_generation(progress, worker, cancellation)
         timer.join()
         assert loads.in_hand(worker.incarnation) == 0
 
--- a/features/steps/hosted_mixed_steps.py
+++ b/features/steps/hosted_mixed_steps.py
@@ -134,7 +134,7 @@
     loaded.load(unpacked(recorded["snapshot"]))
     for held in (machines, loaded):
         jobs = held.machine(BatchJobs).jobs
-        listed = {job_id: sorted(state.listed) for job_id, state in sorted(jobs.items())}
+        listed = {job_id: sorted(state.recorded_ids) for job_id, state in sorted(jobs.items())}
         assert listed == recorded["listed"], listed
     assert loaded.save() == machines.save()
 
--- a/features/steps/hosted_moves_steps.py
+++ b/features/steps/hosted_moves_steps.py
@@ -10,7 +10,7 @@
 from features.support.hosted_jobs import configuration, make_job
 from hypothesis import given, settings
 
-from bellweir.hosted.batches.attempts import ItemAttempts
+from bellweir.hosted.batches.attempts import ItemRunner
 from bellweir.hosted.batches.mover import Run, RunMover
 from bellweir.hosted.batches.moves import (
     LEAST_GAIN_S,
@@ -155,7 +155,7 @@
     results = context.leader.ledger.machine.jobs["later"].results
     for result in results:
         assert result.is_complete
-        assert result.whole_text == text_of(result.item_id, 60)
+        assert result.full_text == text_of(result.item_id, 60)
     ended = context.leader.models[0].record.ended
     assert not [name for name in ended if name.startswith("later-")], ended
 
@@ -171,10 +171,10 @@
 
     def __init__(self, count):
         self.now_s = 100.0
-        attempts = ItemAttempts(WorkerConnections(HEADERS), WorkerLoads("a"))
+        attempts = ItemRunner(WorkerConnections(HEADERS), WorkerLoads("a"))
         for _ in range(40):
-            attempts.paces.note_gap(Incarnation("fast"), FAST_S)
-            attempts.paces.note_gap(Incarnation("slow"), SLOW_S)
+            attempts.event_times.note_gap(Incarnation("fast"), FAST_S)
+            attempts.event_times.note_gap(Incarnation("slow"), SLOW_S)
         self.mover = RunMover(attempts, lambda: self.now_s)
         job = make_job("job", count, 1)
         fast, self.slow = (Worker(name, WorkerEntry("llm", "h:1")) for name in ("fast", "slow"))
@@ -192,7 +192,7 @@
         """An event of each run is read."""
         for run in self.runs:
             run.progress.events += 1
-            run.progress.heard_s = self.now_s
+            run.progress.last_event_s = self.now_s
 
     def look(self, after_s):
         """Look at the runs when some time has passed."""
--- a/features/steps/hosted_reading_steps.py
+++ b/features/steps/hosted_reading_steps.py
@@ -40,7 +40,7 @@
     RecordResults,
     ResultsRecorded,
     StageItems,
-    TextPart,
+    TextCheckpoint,
 )
 from bellweir.hosted.batches.texts import pack_text
 from bellweir.ledger.machines import Codec
@@ -65,7 +65,7 @@
 
 
 def read(api, job_id, after, tenant=""):
-    return api.serve_call(call("GET", f"/api/lots/{job_id}", query=f"after={after}"), tenant)
+    return api.serve_job_request(call("GET", f"/api/lots/{job_id}", query=f"after={after}"), tenant)
 
 
 def accept_commands(job_id):
@@ -109,12 +109,12 @@
             return
         known = self.listed[job_id]
         made = [
-            ItemResult.made(f"{job_id}-{at}", True, TEXTS[text], (at,))
+            ItemResult.from_text(f"{job_id}-{at}", True, TEXTS[text], (at,))
             for at, text in enumerate(texts, len(known))
             if at < ITEMS
         ]
         # What comes again changes nothing.
-        again = [ItemResult.made(f"{job_id}-0", True, "other", (9,))] if known else []
+        again = [ItemResult.from_text(f"{job_id}-0", True, "other", (9,))] if known else []
         self.ledgers[0].submit("", RecordResults(job_id, (*again, *made)), 1.0)
         if job_id not in self.ended:
             known.extend(made)
@@ -164,7 +164,7 @@
         assert page["total"] == ITEMS
         assert page["next"] == after + len(page["results"])
         assert [(one["id"], one["text"]) for one in page["results"]] == [
-            (one.item_id, one.whole_text) for one in expected
+            (one.item_id, one.full_text) for one in expected
         ]
         assert page["results"] or after >= len(listed), "a position that has a result is empty"
         assert len(body) <= PAGE_LIMIT_BYTES or len(page["results"]) == 1
@@ -246,7 +246,7 @@
     context.api = BatchApi(context.ledger, HEADERS, PATHS)
     context.ledger.submit("", AcceptJob(make_job("job", ITEMS, 1)), 1.0)
     for at in range(count):
-        result = ItemResult.made(f"job-{at}", True, f"text {at}", (1,))
+        result = ItemResult.from_text(f"job-{at}", True, f"text {at}", (1,))
         context.ledger.submit("", RecordResults("job", (result,)), 1.0)
     for replica in context.ledger.replicas:
         replica.copy(context.ledger.log, 1 + near if near else 0)
@@ -350,7 +350,7 @@
     context.api = BatchApi(context.ledger, HEADERS, PATHS)
     context.long_text = CHARACTERS[characters] * length
     context.ledger.submit("", AcceptJob(make_job("job", count, 1)), 1.0)
-    made = [ItemResult.made(f"job-{at}", True, context.long_text, (1,)) for at in range(count)]
+    made = [ItemResult.from_text(f"job-{at}", True, context.long_text, (1,)) for at in range(count)]
     context.ledger.submit("", RecordResults("job", tuple(made)), 1.0)
     context.count = count
 
@@ -376,7 +376,7 @@
     context.api = BatchApi(context.ledger, HEADERS, PATHS)
     context.ledger.submit("", AcceptJob(make_job("job", 2, 1)), 1.0)
     text = b"a\x80\nb".decode("utf-8", "surrogateescape")
-    made = ItemResult.made("job-0", True, text, (1,))
+    made = ItemResult.from_text("job-0", True, text, (1,))
     context.ledger.submit("", RecordResults("job", (made,)), 1.0)
 
 
@@ -441,7 +441,9 @@
             # A new leader may keep the newest part once more.
             after = kept[item] if what == "keep" else max(0, kept[item] - 1)
             packed = pack_text(f"kept {item} {after}")
-            commands.append(KeepParts("job", (TextPart(item_id, after, 1, after, packed, (1,)),)))
+            commands.append(
+                KeepParts("job", (TextCheckpoint(item_id, after, 1, after, packed, (1,)),))
+            )
             kept[item] = after + 1
         elif what == "end":
             commands.append(EndJob("job", 5.0))
@@ -449,7 +451,12 @@
             behind = kept[item] if what == "record" else 0
             text = "tail" if behind else "whole"
             result = ItemResult(
-                item_id, True, versions=(1,), packed=pack_text(text), length=9, behind=behind
+                item_id,
+                True,
+                versions=(1,),
+                compressed=pack_text(text),
+                length=9,
+                checkpointed_events=behind,
             )
             commands.append(RecordResults("job", (result,)))
     return commands
@@ -457,7 +464,7 @@
 
 def _texts(machine):
     page = machine.answer(ReadResults("job", 0, 1 << 20))
-    return [(one.item_id, one.whole_text, one.versions) for one in page.results]
+    return [(one.item_id, one.full_text, one.versions) for one in page.results]
 
 
 def _captured_log(context):
@@ -485,8 +492,8 @@
         for number in numbers:
             progress = ItemProgress(job, ROUTE, make_job("job", 9, 1).items[number])
             progress.pieces = ["a text"]
-            result = ItemResult.made(progress.item.id, True, "a text", (1,))
-            progress.result = msgspec.structs.replace(result, behind=behind)
+            result = ItemResult.from_text(progress.item.id, True, "a text", (1,))
+            progress.result = msgspec.structs.replace(result, checkpointed_events=behind)
             found.append(progress)
         committer._commit(job_id, found, threading.Event())
 
@@ -519,7 +526,7 @@
 def when_put_off(context, known, after, unknown):
     context.log = _captured_log(context)
     counted = context.counted = []
-    context.api = BatchApi(context.ledger, HEADERS, PATHS, count_put_off=counted.append)
+    context.api = BatchApi(context.ledger, HEADERS, PATHS, count_deferred=counted.append)
     for job_id, count in (("job", known), ("none", unknown)):
         for _ in range(count):
             assert read(context.api, job_id, after).status == 503
@@ -569,7 +576,7 @@
 def then_body(context):
     for item_id, status, content in (("job-5", 200, b"prompt"), ("other-5", 503, None)):
         context.ledger.waits_s.clear()
-        answer = context.api.serve_call(call("GET", "/api/items/job", query=f"id={item_id}"))
+        answer = context.api.serve_job_request(call("GET", "/api/items/job", query=f"id={item_id}"))
         assert answer.status == status, answer.status
         assert content is None or answer.body == content
         assert sum(context.ledger.waits_s) < CLIENT_PATIENCE_S, context.ledger.waits_s
--- a/features/steps/hosted_starts_steps.py
+++ b/features/steps/hosted_starts_steps.py
@@ -14,7 +14,7 @@
 from features.support.worker_processes import WorkerProcess
 from hypothesis import given, settings
 
-from bellweir.hosted.batches.attempts import ItemAttempts
+from bellweir.hosted.batches.attempts import ItemRunner
 from bellweir.hosted.batches.progress import ItemProgress
 from bellweir.hosted.incarnation import Incarnation
 from bellweir.hosted.interface import Listing, RecordChange, StoredRecord
@@ -451,7 +451,7 @@
     context.cleanup.callback(context.other.close)
     gateway = context.gateway = GatewayUnderTest([process, context.other])
     context.cleanup.callback(gateway.close)
-    context.attempts = ItemAttempts(gateway._connections, gateway.loads)
+    context.attempts = ItemRunner(gateway._connections, gateway.loads)
     versions, configuration = VersionsView(), ConfigurationView()
     engine = {"slots": 8, "models": [{"name": MODEL}]}
     services = [{"name": "app", "engine": engine}]
@@ -493,7 +493,9 @@
     context.stream = send_to_process(context, "/resumable/x")
     context.single = send_to_process(context, "/single/x")
     gateway.loads.take(worker)
-    text = context.pool.submit(context.attempts.run_text, context.progress, worker, Cancellation())
+    text = context.pool.submit(
+        context.attempts.run_generation, context.progress, worker, Cancellation()
+    )
     context.wait_until(lambda: context.progress.events > 0, "the text begins")
 
     def is_ordered():
@@ -517,7 +519,7 @@
     worker, text = context.gateway.workers.worker("i-1"), context.progress
     assert 0 < text.events < EVENTS
     context.gateway.loads.take(worker)
-    context.attempts.run_text(text, worker, Cancellation())
+    context.attempts.run_generation(text, worker, Cancellation())
     assert "\n".join(text.pieces) == text_of(text.item.id, EVENTS)
 
 
--- a/features/steps/hosted_steps_steps.py
+++ b/features/steps/hosted_steps_steps.py
@@ -11,7 +11,7 @@
 from features.support.hosted_jobs import HOST, configuration, make_job, make_leader
 from hypothesis import given, settings
 
-from bellweir.hosted.batches.attempts import ItemAttempts
+from bellweir.hosted.batches.attempts import ItemRunner
 from bellweir.hosted.batches.placement import (
     LONGEST_HOLD_S,
     EarliestEnd,
@@ -138,8 +138,10 @@
 
 @then("two trainers' steps of texts whose lengths nobody knows go by their due times, none late")
 def then_unknown(context):
-    attempts = ItemAttempts(WorkerConnections(HEADERS), WorkerLoads("a"))
-    queue = StepQueue(attempts.known_events, lambda _service: [(PACE_S, 8)], lambda: 5.0)
+    attempts = ItemRunner(WorkerConnections(HEADERS), WorkerLoads("a"))
+    queue = StepQueue(
+        attempts.predicted_events_or_none, lambda _service: [(PACE_S, 8)], lambda: 5.0
+    )
     table = RouteTable(msgspec.convert(configuration(), Configuration))
     steps, known = [], {}
     for prefix, due_ms in (("/draft/", 9_000.0), ("/rewrite/", 7_000.0)):
--- a/features/steps/hosted_tenants_steps.py
+++ b/features/steps/hosted_tenants_steps.py
@@ -16,7 +16,7 @@
 from hypothesis import given, settings
 
 from bellweir.events.log import configure_logs
-from bellweir.hosted.batches.api import BatchApi, job_of_tenant
+from bellweir.hosted.batches.api import BatchApi, assign_tenant
 from bellweir.hosted.batches.state import AcceptJob, BatchJobs, EndJob, ItemResult, RecordResults
 from bellweir.hosted.records import Route, RouteKind
 from bellweir.hosted.serving.service import longest_key_age_s
@@ -256,7 +256,7 @@
 
 def status_of(context, what, tenant):
     method, path, query = what
-    return context.api.serve_call(call(method, path, query=query), tenant).status
+    return context.api.serve_job_request(call(method, path, query=query), tenant).status
 
 
 @then('"dealers" reads it, its bodies and its end')
@@ -293,7 +293,7 @@
         msgspec.structs.replace(item, headers=(*item.headers, SERVICES, NAMES_DEALERS))
         for item in job.items
     )
-    job = job_of_tenant(msgspec.structs.replace(job, items=items), "dealers", HEADERS)
+    job = assign_tenant(msgspec.structs.replace(job, items=items), "dealers", HEADERS)
     context.leader.ledger.submit("", AcceptJob(job), 1.0)
     state = context.leader.ledger.machine.jobs["job"]
     wait_until(lambda: len(state.results) == 4, "all items are listed")
@@ -324,7 +324,7 @@
     before.ledger.machine.apply(msgspec.convert(encoded, AcceptJob))
     saved, before.ledger.machine = before.ledger.machine.save(), BatchJobs()
     before.ledger.machine.load(saved)
-    page = before.api.serve_call(call(*READ[:2]), "dealers")
+    page = before.api.serve_job_request(call(*READ[:2]), "dealers")
     assert json.loads(page.body)["total"] == 2
     ended = msgspec.to_builtins(EndJob("job", 1.0, "services"))
     before.ledger.machine.apply(msgspec.convert(ended, EndJob))
--- a/features/support/hosted_gateway.py
+++ b/features/support/hosted_gateway.py
@@ -58,7 +58,7 @@
 
 
 class NoBatches:
-    def is_call(self, request):
+    def is_job_request(self, request):
         return False
 
 
--- a/features/support/hosted_jobs.py
+++ b/features/support/hosted_jobs.py
@@ -5,7 +5,7 @@
 
 from returns.result import Failure, Success
 
-from bellweir.hosted.batches.attempts import ItemAttempts
+from bellweir.hosted.batches.attempts import ItemRunner
 from bellweir.hosted.batches.coordinator import DEFAULT_POLICY, Coordinator
 from bellweir.hosted.batches.retention import JobRetention
 from bellweir.hosted.batches.state import BatchJobs, Job, JobItem, Scorer
@@ -146,7 +146,7 @@
     ledger, loads = MemoryLedger(), WorkerLoads("a")
     connections = WorkerConnections(HEADERS)
     context.cleanup.callback(connections.forget_others, set())
-    attempts = ItemAttempts(connections, loads)
+    attempts = ItemRunner(connections, loads)
     coordinator = Coordinator(ledger, view, workers, loads, attempts, executors, policy)
     executors.run_task("coordinator", coordinator.run)
     executors.run_task("committer", coordinator.committer.run)
--- a/features/support/kept_jobs.py
+++ b/features/support/kept_jobs.py
@@ -85,7 +85,7 @@
         """Let all machines catch up and look."""
         for replica in self.replicas:
             replica.catch_up()
-            replica.retention.look()
+            replica.retention.check()
 
     def age_s(self, job_id):
         """Time since a job's end."""
--- a/src/bellweir/hosted/batches/api.py
+++ b/src/bellweir/hosted/batches/api.py
@@ -36,7 +36,7 @@
 PAGE_BYTES = 700_000
 """Characters read for one answer, about; the rest follows with the next call."""
 ACCEPT_TIMEOUT_S = 3.0
-PART_BYTES = 400_000
+MAX_PART_BYTES = 400_000
 """Bodies in one command; the ledger takes a mebibyte."""
 ITEM_OVERHEAD_BYTES = 1_024
 """Bytes of an item besides its body, at most about so many."""
@@ -47,11 +47,11 @@
 """Time for the leader to answer a reading: longer than the 0.8 s after which a gateway that is cut
 off from the ledger turns to another one. A client gives up 1.5 s after the time for which it lets
 its reading be held; what is known elsewhere must be shown before."""
-REST_TIMEOUT_S = 0.3
+REMAINDER_TIMEOUT_S = 0.3
 """The same where the zone's replica has given something: the next reading asks for the rest."""
 REPLICAS_TIMEOUT_S = 0.3
 """Time for the replicas of all zones, while the leader does not answer."""
-LONGEST_HOLD_S = 1.0
+MAX_HOLD_S = 1.0
 HOLD_POLL_S = 0.15
 """Pause between two looks while a reading is held until there is a result."""
 RETRY_AFTER_S = 0.3
@@ -67,11 +67,11 @@
         paths: CallPaths,
         *,
         nearby_reads: bool = True,
-        count_put_off: Callable[[str], None] = lambda _: None,
+        count_deferred: Callable[[str], None] = lambda _: None,
     ) -> None:
         """With `nearby_reads` results come from the replica of this zone as far as it has them.
 
-        `count_put_off` is called for each reading that is put off; see `PutOffReadings`.
+        `count_deferred` is called for each reading that is put off; see `PutOffReadings`.
         """
         self._ledger = ledger
         self._paths = paths
@@ -79,10 +79,10 @@
         self._nearby_reads = nearby_reads
         self._pause = threading.Event()
         self._cache = ResultCache()
-        self._put_off = PutOffReadings(count_put_off)
+        self._put_off = PutOffReadings(count_deferred)
         self.accept_timeout_s = ACCEPT_TIMEOUT_S
 
-    def is_call(self, request: Request) -> bool:
+    def is_job_request(self, request: Request) -> bool:
         """Whether a request is a call about a job, not one of a route."""
         return request.raw_path.startswith((self._paths.batch_job, self._paths.batch_item))
 
@@ -97,7 +97,7 @@
             raise BadRequestError("a batch job is a POST with an id")
         job = decode_job(request.body.read(), job_id, route.host, route.path_prefix)
         if tenant is not None:
-            job = job_of_tenant(job, tenant, self._names)
+            job = assign_tenant(job, tenant, self._names)
         outcome = self._submit_job(job, began_s + self.accept_timeout_s)
         match outcome:
             case Success(JobAccepted(is_foreign=True)):
@@ -155,7 +155,7 @@
         emit(JOB_NOT_ACCEPTED, request_id=job.id, status=status, cause=error.detail[:160])
         return own_response(status, "not_accepted", RETRY_AFTER_S if surely_not else None)
 
-    def serve_call(self, request: Request, tenant: str = "") -> Response:
+    def serve_job_request(self, request: Request, tenant: str = "") -> Response:
         """Serve a reading, an item's body or an end, as far as `tenant` may know of the job."""
         path = request.raw_path
         if path.startswith(self._paths.batch_item):
@@ -169,7 +169,7 @@
 
     def _results(self, request: Request, job_id: str, tenant: str) -> Response:
         after = parse_integer("after", request.query("after") or "0")
-        hold_s = min(LONGEST_HOLD_S, _hold_s(request.header(self._names.wait_ms)))
+        hold_s = min(MAX_HOLD_S, _parse_hold_s(request.header(self._names.wait_ms)))
         until_s = time.monotonic() + hold_s
         while True:
             page = self._read_page(job_id, after, tenant)
@@ -201,11 +201,11 @@
         there is no such job is believed of the leader only.
         """
         near = self._read_nearby(job_id, after, tenant)
-        left_bytes = PAGE_BYTES - sum(result.shown_size for result in near.results)
+        left_bytes = PAGE_BYTES - sum(result.response_size for result in near.results)
         if _is_at_end(near, after) or (near.results and left_bytes <= 0):
             return near
         query = ReadResults(job_id, after + len(near.results), left_bytes, tenant)
-        timeout_s = REST_TIMEOUT_S if near.results else LEADER_TIMEOUT_S
+        timeout_s = REMAINDER_TIMEOUT_S if near.results else LEADER_TIMEOUT_S
         outcome = self._ledger.ask(JOBS_KEY, query, timeout_s)
         found = outcome.value_or(None)
         if isinstance(found, ResultsPage):
@@ -275,7 +275,7 @@
     return page.total is not None and after + len(page.results) >= page.total
 
 
-def job_of_tenant(job: Job, tenant: str, names: HeaderNames) -> Job:
+def assign_tenant(job: Job, tenant: str, names: HeaderNames) -> Job:
     """Return a job as its tenant's: its items' headers hold neither a key nor another name."""
     dropped = names.of_client_only
     items = tuple(
@@ -293,7 +293,7 @@
     size = 0
     for item in items:
         length = len(item.body) + ITEM_OVERHEAD_BYTES
-        if parts[-1] and size + length > PART_BYTES:
+        if parts[-1] and size + length > MAX_PART_BYTES:
             parts.append([])
             size = 0
         parts[-1].append(item)
@@ -301,7 +301,7 @@
     return [tuple(part) for part in parts]
 
 
-def _hold_s(text: str | None) -> float:
+def _parse_hold_s(text: str | None) -> float:
     try:
         return max(0.0, float(text or "0") / 1000)
     except ValueError:
--- a/src/bellweir/hosted/batches/attempts.py
+++ b/src/bellweir/hosted/batches/attempts.py
@@ -16,7 +16,7 @@
     VersionTooOldError,
 )
 from bellweir.hosted.batches.refusals import RefusalGuard
-from bellweir.hosted.batches.state import JobItem, TextPart
+from bellweir.hosted.batches.state import JobItem, TextCheckpoint
 from bellweir.hosted.event_stream import EventSplitter, EventTooLongError
 from bellweir.hosted.incarnation import Incarnation
 from bellweir.hosted.interface import HeaderNames
@@ -38,20 +38,20 @@
 from bellweir.hosted.views.workers import Worker
 
 FIRST_EVENT_TIMEOUT_S = 3.0
-SILENCE_TIMEOUT_S = 2.0
+STREAM_IDLE_TIMEOUT_S = 2.0
 """Time without an event after which a run goes on at another worker; a load takes about one."""
 RUN_DEADLINE_MS = 60_000.0
 """Time that a worker may spend on a run; its silence ends it much sooner."""
 SCORE_TIMEOUT_S = 1.0
 SCORE_DEADLINE_MS = 5_000.0
-REFUSED_PAUSE_S = 0.05
-FAILED_PAUSE_S = 0.02
-ENDED_HERE = "ended here"
+REFUSED_BACKOFF_S = 0.05
+FAILED_BACKOFF_S = 0.02
+CANCELLED = "ended here"
 """Cause of a run's end when its job was ended or another node leads."""
 UNPROCESSABLE = 422
 SERVER_ERROR = 500
 
-BROKEN = (
+STREAM_ERRORS = (
     OSError,
     http.client.HTTPException,
     EventTooLongError,
@@ -61,38 +61,42 @@
 )
 
 
-class ItemAttempts:
+class ItemRunner:
     """Runs attempts; each call blocks until its attempt has ended."""
 
     def __init__(self, connections: WorkerConnections, loads: WorkerLoads) -> None:
         self._connections = connections
         self._loads = loads
-        self.refusals = RefusalGuard()
-        self.failing = FailingWorkers()
-        self.fellows_of: Callable[[Worker], Collection[Incarnation]] = _no_fellows
+        self.refusal_backoff = RefusalGuard()
+        self.quarantine = FailingWorkers()
+        self.service_workers_of: Callable[[Worker], Collection[Incarnation]] = _no_service_workers
         """Returns the workers of a worker's service, itself among them; none: all count."""
-        self.paces = WorkerPaces()
-        self.lengths = TextLengths()
-        self.keep_part: Callable[[ItemProgress, TextPart], None] = lambda _progress, _part: None
+        self.event_times = WorkerPaces()
+        self.length_predictor = TextLengths()
+        self.save_checkpoint: Callable[[ItemProgress, TextCheckpoint], None] = (
+            lambda _progress, _part: None
+        )
         """Called with parts of long texts in the making."""
-        self.keep_period_s = 0.0
+        self.checkpoint_interval_s = 0.0
         """Time between two parts of a text; 0: none is kept."""
 
-    def expected_events(self, progress: ItemProgress) -> float:
+    def predicted_events(self, progress: ItemProgress) -> float:
         """Events that an item's text is expected to have."""
-        return self.lengths.expected(progress.item.id, progress.guessed_tokens)
+        return self.length_predictor.expected(progress.item.id, progress.guessed_tokens)
 
-    def known_events(self, progress: ItemProgress) -> float | None:
+    def predicted_events_or_none(self, progress: ItemProgress) -> float | None:
         """The same, as far as it is more than a rank among texts; None before any has ended."""
-        return self.expected_events(progress) if self.lengths.is_known else None
+        return self.predicted_events(progress) if self.length_predictor.is_known else None
 
     def guessed_tokens(self, item: JobItem) -> float | None:
         """Tokens that an item's caller guesses its text to have; None without a guess."""
         wanted = self._connections.headers.length_hint.lower()
-        guesses = (_number(value) for name, value in item.headers if name.lower() == wanted)
+        guesses = (_parse_float(value) for name, value in item.headers if name.lower() == wanted)
         return next(guesses, None)
 
-    def run_text(self, progress: ItemProgress, worker: Worker, cancellation: Cancellation) -> None:
+    def run_generation(
+        self, progress: ItemProgress, worker: Worker, cancellation: Cancellation
+    ) -> None:
         """Get the item's events, from the first one that is missing on."""
         progress.attempts += 1
         emit(
@@ -106,14 +110,14 @@
             after_event=progress.last_event_id,
         )
         began_s = time.monotonic()
-        progress.heard_s = progress.kept_s = began_s
+        progress.last_event_s = progress.checkpointed_s = began_s
         opened = self._open_text(progress, worker, cancellation)
         if cancellation.cancelled.is_set():
-            self._ended_here(progress, worker, opened.opened)
+            self._end_cancelled(progress, worker, opened.opened)
         elif opened.opened is None or opened.state is not AttemptState.ANSWERED:
-            self._not_answered(progress, worker, opened)
+            self._handle_no_answer(progress, worker, opened)
         elif opened.opened.status >= 300:
-            self._failed_answer(progress, worker, opened)
+            self._handle_error_answer(progress, worker, opened)
         else:
             self._read_events(progress, worker, opened.opened, began_s, cancellation)
 
@@ -134,21 +138,21 @@
             state = opened.state
         finally:
             if state is AttemptState.ANSWERED:
-                self.refusals.accepted(worker.incarnation, model)
+                self.refusal_backoff.accepted(worker.incarnation, model)
             elif state is AttemptState.REFUSED:
-                self.refusals.refused(worker.incarnation, model)
+                self.refusal_backoff.refused(worker.incarnation, model)
             else:
-                self.refusals.ended(worker.incarnation, model)
+                self.refusal_backoff.ended(worker.incarnation, model)
         return opened
 
-    def _ended_here(
+    def _end_cancelled(
         self, progress: ItemProgress, worker: Worker, opened: OpenAnswer | None
     ) -> None:
         """End a run that this node itself wants no more: no fault of the worker's."""
         if opened is not None:
             opened.drop()
         self._loads.released(worker.incarnation)
-        self._log_broken(progress, worker, ENDED_HERE)
+        self._log_attempt_failed(progress, worker, CANCELLED)
 
     def _read_events(
         self,
@@ -161,7 +165,7 @@
         names = self._connections.headers
         opened.ends_with_connection = False
         splitter = EventSplitter(names.weight_versions)
-        version = _version(opened.headers.get(names.weight_versions.lower()))
+        version = _parse_version(opened.headers.get(names.weight_versions.lower()))
         try:
             is_first = True
             for block in opened.read_blocks():
@@ -171,73 +175,82 @@
                     progress.add_event(event, version)
                 if events:
                     if is_first:
-                        self._note_served(worker, began_s)
-                    self._note_events(progress, worker, len(events), is_first=is_first)
+                        self._record_success(worker, began_s)
+                    self._record_events(progress, worker, len(events), is_first=is_first)
                     is_first = False
-                opened.set_timeout(SILENCE_TIMEOUT_S)
+                opened.set_timeout(STREAM_IDLE_TIMEOUT_S)
             if not splitter.is_between_events:
                 raise http.client.HTTPException("the stream ended inside an event")
-        except BROKEN as failure:
+        except STREAM_ERRORS as failure:
             if cancellation.cancelled.is_set():
-                self._ended_here(progress, worker, opened)
+                self._end_cancelled(progress, worker, opened)
                 return
             opened.drop()
-            self._broken(progress, worker, failure)
+            self._end_failed_stream(progress, worker, failure)
             return
         opened.finish()
         self._loads.answered(worker.incarnation, time.monotonic() - began_s)
-        self.lengths.finished(progress.item.id, progress.guessed_tokens, progress.events)
-        progress.text_is_whole()
+        self.length_predictor.finished(progress.item.id, progress.guessed_tokens, progress.events)
+        progress.complete_generation()
 
-    def _note_events(
+    def _record_events(
         self, progress: ItemProgress, worker: Worker, count: int, *, is_first: bool
     ) -> None:
         """Note that events came; the first ones of a run tell nothing of its worker's pace."""
         now_s = time.monotonic()
         if not is_first:
-            self.paces.note_gap(worker.incarnation, (now_s - progress.heard_s) / count)
-        progress.heard_s = now_s
-        if self.keep_period_s > 0 and now_s - progress.kept_s >= self.keep_period_s:
-            progress.kept_s = now_s
-            part = progress.take_part()
+            self.event_times.note_gap(worker.incarnation, (now_s - progress.last_event_s) / count)
+        progress.last_event_s = now_s
+        if (
+            self.checkpoint_interval_s > 0
+            and now_s - progress.checkpointed_s >= self.checkpoint_interval_s
+        ):
+            progress.checkpointed_s = now_s
+            part = progress.take_checkpoint()
             if part is not None:
-                self.keep_part(progress, part)
+                self.save_checkpoint(progress, part)
 
-    def _broken(self, progress: ItemProgress, worker: Worker, failure: Exception) -> None:
+    def _end_failed_stream(
+        self, progress: ItemProgress, worker: Worker, failure: Exception
+    ) -> None:
         if isinstance(failure, VersionMixedError | EventsMissingError):
             progress.restart()
         if isinstance(failure, VersionTooOldError | VersionMixedError):
             self._loads.refused(worker.incarnation)
         else:
             self._loads.failed(worker.incarnation)
-        self._log_broken(progress, worker, repr(failure))
+        self._log_attempt_failed(progress, worker, repr(failure))
 
-    def _not_answered(self, progress: ItemProgress, worker: Worker, opened: OpenedAttempt) -> None:
+    def _handle_no_answer(
+        self, progress: ItemProgress, worker: Worker, opened: OpenedAttempt
+    ) -> None:
         if opened.opened is not None:
             read_whole(opened.opened, opened)
         if opened.state is AttemptState.REFUSED:
             self._loads.released(worker.incarnation)
-            progress.not_before_s = time.monotonic() + REFUSED_PAUSE_S
+            progress.not_before_s = time.monotonic() + REFUSED_BACKOFF_S
         else:
             self._loads.failed(worker.incarnation)
-            progress.not_before_s = time.monotonic() + FAILED_PAUSE_S
-        self._log_broken(progress, worker, f"{opened.state.value}: {opened.detail}")
+            progress.not_before_s = time.monotonic() + FAILED_BACKOFF_S
+        self._log_attempt_failed(progress, worker, f"{opened.state.value}: {opened.detail}")
 
-    def _failed_answer(self, progress: ItemProgress, worker: Worker, opened: OpenedAttempt) -> None:
+    def _handle_error_answer(
+        self, progress: ItemProgress, worker: Worker, opened: OpenedAttempt
+    ) -> None:
         status = opened.opened.status if opened.opened is not None else SERVER_ERROR
         if opened.opened is not None:
             read_whole(opened.opened, opened)
         self._loads.released(worker.incarnation)
-        progress.not_before_s = time.monotonic() + FAILED_PAUSE_S
-        self._note_failure(progress, worker, status)
+        progress.not_before_s = time.monotonic() + FAILED_BACKOFF_S
+        self._record_failure(progress, worker, status)
         if status == UNPROCESSABLE:
             progress.give_up()
         elif status == SERVER_ERROR:
-            progress.failed_at.append(worker.incarnation)
+            progress.generation_failures.append(worker.incarnation)
             self._give_up_if_due(progress, progress.route.max_attempts, worker)
-        self._log_broken(progress, worker, f"status {status}")
+        self._log_attempt_failed(progress, worker, f"status {status}")
 
-    def run_score(
+    def run_scoring(
         self,
         progress: ItemProgress,
         worker: Worker,
@@ -257,60 +270,62 @@
         )
         answer = outcome.answer
         if cancellation.cancelled.is_set() and answer is None:
-            self._ended_here(progress, worker, None)
+            self._end_cancelled(progress, worker, None)
             return
         if outcome.state is AttemptState.ANSWERED and answer is not None:
             if answer.status < 300:
                 self._loads.answered(worker.incarnation, time.monotonic() - began_s)
-                self._note_served(worker, began_s)
+                self._record_success(worker, began_s)
                 progress.finish(_header(answer.headers, self._connections.headers.stamp))
                 return
             # How soon a worker fails tells nothing of how soon it serves.
             self._loads.released(worker.incarnation)
-            self._score_failed(progress, answer.status, maximum_failures, worker)
+            self._handle_scoring_error(progress, answer.status, maximum_failures, worker)
         elif outcome.state is AttemptState.REFUSED:
             self._loads.refused(worker.incarnation)
         else:
             self._loads.failed(worker.incarnation)
-        progress.not_before_s = time.monotonic() + FAILED_PAUSE_S
-        self._log_broken(progress, worker, f"scoring: {outcome.state.value} {outcome.detail}")
+        progress.not_before_s = time.monotonic() + FAILED_BACKOFF_S
+        self._log_attempt_failed(
+            progress, worker, f"scoring: {outcome.state.value} {outcome.detail}"
+        )
 
-    def _score_failed(
+    def _handle_scoring_error(
         self, progress: ItemProgress, status: int, maximum_failures: int, worker: Worker
     ) -> None:
-        self._note_failure(progress, worker, status)
+        self._record_failure(progress, worker, status)
         if status == SERVER_ERROR:
-            progress.score_failed_at.append(worker.incarnation)
+            progress.scoring_failures.append(worker.incarnation)
             self._give_up_if_due(progress, maximum_failures, worker)
 
-    def _note_served(self, worker: Worker, began_s: float) -> None:
-        if self.failing.served(worker.incarnation, began_s):
+    def _record_success(self, worker: Worker, began_s: float) -> None:
+        if self.quarantine.served(worker.incarnation, began_s):
             emit(WORKER_SERVES_AGAIN, instance=worker.instance)
 
-    def _note_failure(self, progress: ItemProgress, worker: Worker, status: int) -> None:
+    def _record_failure(self, progress: ItemProgress, worker: Worker, status: int) -> None:
         """Note what a worker's answer without a result tells of the worker."""
         if status < SERVER_ERROR:
             return
-        failures = self.failing.failed(worker.incarnation, progress.item.id)
-        fellows = self.fellows_of(worker)
-        failing = self.failing.failing_all(fellows)
+        failures = self.quarantine.failed(worker.incarnation, progress.item.id)
+        service_workers = self.service_workers_of(worker)
+        failing = self.quarantine.failing_all(service_workers)
         if worker.incarnation in failing:
             emit(
                 WORKER_FAILS_ALL,
                 instance=worker.instance,
                 failures=failures,
-                service_workers=len(fellows),
+                service_workers=len(service_workers),
                 failing_workers=len(failing),
                 cause=f"status {status}",
             )
 
     def _give_up_if_due(self, progress: ItemProgress, allowed: int, worker: Worker) -> None:
-        fellows = self.fellows_of(worker)
-        if self.failing.is_given_up(progress.failed_at_now, allowed, fellows):
+        service_workers = self.service_workers_of(worker)
+        if self.quarantine.is_given_up(progress.stage_failures, allowed, service_workers):
             progress.give_up()
 
-    def _log_broken(self, progress: ItemProgress, worker: Worker, cause: str) -> None:
-        self.lengths.note_events(progress.item.id, progress.events)
+    def _log_attempt_failed(self, progress: ItemProgress, worker: Worker, cause: str) -> None:
+        self.length_predictor.note_events(progress.item.id, progress.events)
         emit(
             ITEM_BROKEN,
             request_id=progress.item.id,
@@ -322,7 +337,7 @@
         )
 
 
-def _no_fellows(_worker: Worker) -> Collection[Incarnation]:
+def _no_service_workers(_worker: Worker) -> Collection[Incarnation]:
     return ()
 
 
@@ -338,14 +353,14 @@
     return WorkerCall("POST", item.path, progress.job.host, item.id, headers, item.body)
 
 
-def _number(text: str) -> float | None:
+def _parse_float(text: str) -> float | None:
     try:
         return float(text)
     except ValueError:
         return None
 
 
-def _version(text: str | None) -> int | None:
+def _parse_version(text: str | None) -> int | None:
     stripped = (text or "").strip()
     return int(stripped) if stripped.isdigit() else None
 
--- a/src/bellweir/hosted/batches/committer.py
+++ b/src/bellweir/hosted/batches/committer.py
@@ -9,26 +9,26 @@
 from bellweir.events.log import emit
 from bellweir.hosted.batches.progress import ItemProgress
 from bellweir.hosted.batches.state import (
+    ALREADY_RECORDED,
     JOBS_KEY,
-    LISTED_BEFORE,
     ItemResult,
     KeepParts,
     RecordResults,
     ResultsRecorded,
-    TextPart,
+    TextCheckpoint,
 )
 from bellweir.hosted.log_events import ITEM_LISTED, ITEM_NOT_LISTED
 from bellweir.ledger.interface import Ledger, Reply
 
-GATHER_S = 0.005
+GATHER_DELAY_S = 0.005
 """Time for which results are gathered into one command."""
-COMMAND_BYTES = 600_000
+MAX_COMMAND_BYTES = 600_000
 """Text in one command; a command has at most a mebibyte."""
-PARTS_IN_COMMAND = 24
+MAX_COMMAND_CHECKPOINTS = 24
 """Parts of texts in one command; each is what some seconds make."""
 SUBMIT_TIMEOUT_S = 2.0
-POLL_S = 0.2
-NOT_TOLD = "not told: the leader's release only counts"
+QUEUE_POLL_S = 0.2
+CAUSE_UNKNOWN = "not told: the leader's release only counts"
 
 
 class Committer:
@@ -40,12 +40,12 @@
         self._queue: queue.SimpleQueue[ItemProgress | KeepParts] = queue.SimpleQueue()
         self._pause = threading.Event()
 
-    def put(self, progress: ItemProgress) -> None:
+    def put_result(self, progress: ItemProgress) -> None:
         """Commit an item's result soon."""
         progress.is_committing = True
         self._queue.put(progress)
 
-    def keep(self, progress: ItemProgress, part: TextPart) -> None:
+    def put_checkpoint(self, progress: ItemProgress, part: TextCheckpoint) -> None:
         """Keep a part of a text in the making soon; lost if this node leads no more."""
         self._queue.put(KeepParts(progress.job.id, (part,)))
 
@@ -53,31 +53,31 @@
         """Commit until `stopping`."""
         while not stopping.is_set():
             try:
-                first = self._queue.get(timeout=POLL_S)
+                first = self._queue.get(timeout=QUEUE_POLL_S)
             except queue.Empty:
                 continue
-            self._pause.wait(GATHER_S)
-            gathered = [first]
+            self._pause.wait(GATHER_DELAY_S)
+            batch = [first]
             while not self._queue.empty():
-                gathered.append(self._queue.get())
-            self._commit_all(gathered, stopping)
+                batch.append(self._queue.get())
+            self._commit_batch(batch, stopping)
 
-    def _commit_all(
-        self, gathered: list[ItemProgress | KeepParts], stopping: threading.Event
+    def _commit_batch(
+        self, batch: list[ItemProgress | KeepParts], stopping: threading.Event
     ) -> None:
         by_job: dict[str, list[ItemProgress]] = {}
-        parts: dict[str, list[TextPart]] = {}
-        for each in gathered:
+        parts: dict[str, list[TextCheckpoint]] = {}
+        for each in batch:
             if isinstance(each, KeepParts):
                 parts.setdefault(each.job_id, []).extend(each.parts)
             else:
                 by_job.setdefault(each.job.id, []).append(each)
         for job_id, found in by_job.items():
-            for part in _parts(found):
+            for part in _split_by_size(found):
                 self._commit(job_id, part, stopping)
         for job_id, kept in parts.items():
-            for start in range(0, len(kept), PARTS_IN_COMMAND):
-                command = KeepParts(job_id, tuple(kept[start : start + PARTS_IN_COMMAND]))
+            for start in range(0, len(kept), MAX_COMMAND_CHECKPOINTS):
+                command = KeepParts(job_id, tuple(kept[start : start + MAX_COMMAND_CHECKPOINTS]))
                 # Not tried again: a later part that doesn't join is dropped, the text goes on.
                 if self._leads():
                     self._ledger.submit(JOBS_KEY, command, SUBMIT_TIMEOUT_S)
@@ -98,11 +98,11 @@
             if not isinstance(outcome, Success):
                 is_unsure = True
                 continue
-            dropped = _dropped(results, outcome.unwrap())
+            dropped = _drop_causes(results, outcome.unwrap())
             listed.update(each.item_id for each in results if each.item_id not in dropped)
-            if dropped and any(result.behind for result in results):
+            if dropped and any(result.checkpointed_events for result in results):
                 # Its parts may not have reached the log; what is listed already stays.
-                results = tuple(_whole(each) for each in part)
+                results = tuple(_with_full_text(each) for each in part)
                 continue
             for progress, result in zip(part, results, strict=True):
                 cause = None if result.item_id in listed else dropped[result.item_id]
@@ -113,18 +113,18 @@
             progress.is_committing = False
 
 
-def _whole(progress: ItemProgress) -> ItemResult:
+def _with_full_text(progress: ItemProgress) -> ItemResult:
     """An item's result as it needs nothing else of the log."""
     result = progress.result
-    return progress.whole_result() if result is None or result.behind else result
+    return progress.full_result() if result is None or result.checkpointed_events else result
 
 
-def _parts(found: list[ItemProgress]) -> list[list[ItemProgress]]:
+def _split_by_size(found: list[ItemProgress]) -> list[list[ItemProgress]]:
     parts: list[list[ItemProgress]] = [[]]
     size = 0
     for progress in found:
         length = progress.result.size if progress.result else 0
-        if parts[-1] and size + length > COMMAND_BYTES:
+        if parts[-1] and size + length > MAX_COMMAND_BYTES:
             parts.append([])
             size = 0
         parts[-1].append(progress)
@@ -132,16 +132,16 @@
     return parts
 
 
-def _dropped(results: tuple[ItemResult, ...], reply: Reply) -> dict[str, str]:
+def _drop_causes(results: tuple[ItemResult, ...], reply: Reply) -> dict[str, str]:
     """Why results were dropped, by item.
 
     A replica of an earlier release only counts them: with fewer than were sent, each may be one.
     """
     if not isinstance(reply, ResultsRecorded):
-        return dict.fromkeys((each.item_id for each in results), NOT_TOLD)
+        return dict.fromkeys((each.item_id for each in results), CAUSE_UNKNOWN)
     if reply.dropped or reply.count >= len(results):
         return reply.dropped
-    return dict.fromkeys((each.item_id for each in results), NOT_TOLD)
+    return dict.fromkeys((each.item_id for each in results), CAUSE_UNKNOWN)
 
 
 def _log_outcome(
@@ -155,7 +155,7 @@
     """Log what became of a result: listed without a `cause`, else dropped for it."""
     state = "completed" if result.is_complete else "dead"
     known = {"request_id": result.item_id, "job": job_id, "state": state}
-    is_listed = cause is None or (is_unsure and cause == LISTED_BEFORE)
+    is_listed = cause is None or (is_unsure and cause == ALREADY_RECORDED)
     if not is_listed:
         emit(ITEM_NOT_LISTED, **known, events=progress.events, cause=cause)
         return
--- a/src/bellweir/hosted/batches/coordinator.py
+++ b/src/bellweir/hosted/batches/coordinator.py
@@ -10,13 +10,13 @@
 from collections.abc import Iterator
 
 from bellweir.events.log import emit
-from bellweir.hosted.batches.attempts import ItemAttempts
-from bellweir.hosted.batches.carried import CarriedTexts
+from bellweir.hosted.batches.attempts import ItemRunner
 from bellweir.hosted.batches.committer import Committer
 from bellweir.hosted.batches.mover import Run, RunMover
 from bellweir.hosted.batches.progress import ItemProgress, Stage
 from bellweir.hosted.batches.state import JOBS_KEY, BatchJobs, JobItem, JobState
 from bellweir.hosted.batches.step_queue import OpenStep, StepQueue
+from bellweir.hosted.batches.text_cache import TextCache
 from bellweir.hosted.batches.worker_choice import WorkerChoice, score_route
 from bellweir.hosted.log_events import COORDINATION_LEFT, COORDINATION_TAKEN, ITEM_TAKEN_OVER
 from bellweir.hosted.records import Route
@@ -28,7 +28,7 @@
 from bellweir.kernel.executors import Executors, ExecutorSaturatedError, WorkKind
 from bellweir.ledger.interface import Ledger
 
-STEP_S = 0.025
+POLL_INTERVAL_S = 0.025
 """Time between two looks at what is to be run."""
 DEFAULT_POLICY = BatchSettings()
 
@@ -45,7 +45,7 @@
         configuration: ConfigurationView,
         workers: WorkersView,
         loads: WorkerLoads,
-        attempts: ItemAttempts,
+        attempts: ItemRunner,
         executors: Executors,
         policy: BatchSettings = DEFAULT_POLICY,
     ) -> None:
@@ -56,22 +56,22 @@
         self._executors = executors
         self._policy = policy
         self.committer = Committer(ledger, self._is_leading)
-        attempts.keep_part = self.committer.keep
-        attempts.keep_period_s = policy.keep_texts_s
+        attempts.save_checkpoint = self.committer.put_checkpoint
+        attempts.checkpoint_interval_s = policy.keep_texts_s
         self._lock = threading.Lock()
         self._progress: dict[ItemKey, ItemProgress] = {}
         self._running: dict[ItemKey, Run] = {}
-        self._carried = CarriedTexts()
+        self._text_cache = TextCache()
         self._choice = WorkerChoice(workers, loads, attempts, policy)
         self._mover = RunMover(attempts)
-        self._queue = StepQueue(attempts.known_events, self._choice.paces_of)
+        self._queue = StepQueue(attempts.predicted_events_or_none, self._choice.paces_of)
         self._leading = False
         self._wake = threading.Event()
 
     def run(self, stopping: threading.Event) -> None:
         """Coordinate whenever this node leads, until `stopping`."""
         while not stopping.is_set():
-            self._wake.wait(STEP_S)
+            self._wake.wait(POLL_INTERVAL_S)
             self._wake.clear()
             machine = self._ledger.local_machine(JOBS_KEY, BatchJobs)
             leads = self._ledger.leads(JOBS_KEY)
@@ -119,7 +119,7 @@
         with self._lock:
             running = list(self._running.values())
             self._progress.clear()
-            self._carried.forget()
+            self._text_cache.clear()
         for run in running:
             run.cancellation.cancel()
         if self._leading:
@@ -133,7 +133,7 @@
             for state in jobs
             if state.is_open
             for item_id in state.items
-            if item_id not in state.listed
+            if item_id not in state.recorded_ids
         }
         with self._lock:
             gone = [key for key in self._progress if key not in open_items]
@@ -141,7 +141,7 @@
                 progress = self._progress.pop(key)
                 # One that still runs is kept once its attempt has ended.
                 if key not in self._running:
-                    self._carried.keep(progress)
+                    self._text_cache.add(progress)
             cancelled = [run for key, run in self._running.items() if key not in open_items]
         for run in cancelled:
             run.cancellation.cancel()
@@ -169,13 +169,13 @@
 
     def _rank(self, progress: ItemProgress) -> int:
         """Place of an item beside those of other jobs; what was begun goes on first."""
-        is_begun = progress.stage is not Stage.TEXT or progress.moved_to is not None
+        is_begun = progress.stage is not Stage.GENERATION or progress.moved_to is not None
         return -1 if is_begun else self._queue.rank(progress)
 
     def _urgency(self, progress: ItemProgress) -> tuple[bool, bool, float]:
         """Order of work in a job: whole texts to be scored, moved texts, then long ones."""
-        expected = self._attempts.expected_events(progress) - progress.events
-        return progress.stage is Stage.TEXT, not progress.moved_to, -expected
+        expected = self._attempts.predicted_events(progress) - progress.events
+        return progress.stage is Stage.GENERATION, not progress.moved_to, -expected
 
     def _waiting_of(
         self, state: JobState, route: Route, jobs: list[JobState]
@@ -184,13 +184,13 @@
         now_s = time.monotonic()
         for item in state.job.items:
             key = (state.job.id, item.id)
-            if item.id in state.listed or key in self._running:
+            if item.id in state.recorded_ids or key in self._running:
                 continue
             progress = self._progress_of(key, state, route, item, jobs)
             progress.route = route
             if progress.stage is Stage.RESULT:
                 if not progress.is_committing:
-                    self.committer.put(progress)
+                    self.committer.put_result(progress)
             elif progress.not_before_s <= now_s:
                 yield progress
 
@@ -204,12 +204,12 @@
             return known
         progress = ItemProgress(state.job, route, item)
         progress.guessed_tokens = self._attempts.guessed_tokens(item)
-        is_known = progress.go_on_from(state.parts.get(item.id, ()))
+        is_known = progress.resume_from(state.checkpoints.get(item.id, ()))
         if is_known:
             emit(ITEM_TAKEN_OVER, request_id=item.id, job=state.job.id, events=progress.events)
         with self._lock:
             if not is_known and self._policy.carry_texts:
-                self._carried.hand_on(progress, jobs)
+                self._text_cache.restore(progress, jobs)
             self._progress[key] = progress
         return progress
 
@@ -235,8 +235,8 @@
             )
         except (ExecutorSaturatedError, RuntimeError):
             self._loads.released(worker.incarnation)
-            self._attempts.refusals.ended(worker.incarnation, progress.job.model)
-            self._attempts.failing.ended(worker.incarnation, progress.item.id)
+            self._attempts.refusal_backoff.ended(worker.incarnation, progress.job.model)
+            self._attempts.quarantine.ended(worker.incarnation, progress.item.id)
             with self._lock:
                 self._running.pop(key, None)
             return False
@@ -245,21 +245,21 @@
     def _run(self, key: ItemKey, run: Run, maximum_failures: int) -> None:
         progress, worker = run.progress, run.worker
         try:
-            if progress.stage is Stage.TEXT:
-                self._attempts.run_text(progress, worker, run.cancellation)
+            if progress.stage is Stage.GENERATION:
+                self._attempts.run_generation(progress, worker, run.cancellation)
             else:
-                self._attempts.run_score(progress, worker, maximum_failures, run.cancellation)
+                self._attempts.run_scoring(progress, worker, maximum_failures, run.cancellation)
         except Exception:
             # Reported by the executor; the worker's place must not stay taken for good.
             self._loads.released(worker.incarnation)
             raise
         finally:
-            self._attempts.failing.ended(worker.incarnation, progress.item.id)
+            self._attempts.quarantine.ended(worker.incarnation, progress.item.id)
             with self._lock:
                 self._running.pop(key, None)
                 is_wanted = self._progress.get(key) is progress
                 if not is_wanted and self._leading:
-                    self._carried.keep(progress)
+                    self._text_cache.add(progress)
             if is_wanted and progress.stage is Stage.RESULT and not progress.is_committing:
-                self.committer.put(progress)
+                self.committer.put_result(progress)
             self._wake.set()
--- a/src/bellweir/hosted/batches/engine_outlook.py
+++ b/src/bellweir/hosted/batches/engine_outlook.py
@@ -4,7 +4,7 @@
 from collections import defaultdict
 from collections.abc import Callable, Sequence
 
-from bellweir.hosted.batches.attempts import ItemAttempts
+from bellweir.hosted.batches.attempts import ItemRunner
 from bellweir.hosted.batches.mover import Run
 from bellweir.hosted.batches.placement import (
     CROWDING,
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        attempts: ItemAttempts,
+        attempts: ItemRunner,
         policy: BatchSettings,
         now_s: Callable[[], float] = time.monotonic,
     ) -> None:
@@ -58,9 +58,9 @@
 
     def is_uneven(self, workers: Sequence[Worker]) -> bool:
         """Whether workers differ so much that texts are placed by their ends."""
-        if not self._policy.place_by_end or not self._attempts.lengths.is_known:
+        if not self._policy.place_by_end or not self._attempts.length_predictor.is_known:
             return False
-        paces_s = [self._attempts.paces.of(worker.incarnation) for worker in workers]
+        paces_s = [self._attempts.event_times.of(worker.incarnation) for worker in workers]
         return max(paces_s) >= UNEVEN * min(paces_s)
 
     def has_memory(self, worker: Worker, progress: ItemProgress) -> bool:
@@ -111,7 +111,7 @@
         return TextNeed(progress.item.id, self._left(progress), progress.item.tokens, waited_s)
 
     def _left(self, progress: ItemProgress) -> float:
-        expected = self._attempts.expected_events(progress)
+        expected = self._attempts.predicted_events(progress)
         return max(expected - progress.events, FEWEST_LEFT_EVENTS)
 
     def _room(self, worker: Worker) -> EngineRoom[Incarnation]:
@@ -122,7 +122,7 @@
 
     def _made_room(self, worker: Worker) -> EngineRoom[Incarnation]:
         runs = self._texts_at(worker)
-        pace_s = self._attempts.paces.of(worker.incarnation)
+        pace_s = self._attempts.event_times.of(worker.incarnation)
         crowded_s = pace_s * (1 + CROWDING * len(runs) / max(1, worker.entry.slots))
         now_s = self._now_s()
         ends_s = [now_s + self._left(run.progress) * crowded_s for run in runs]
@@ -136,7 +136,7 @@
         if self._runs_at is None:
             self._runs_at = defaultdict(list)
             for run in self._running:
-                if run.progress.stage is Stage.TEXT:
+                if run.progress.stage is Stage.GENERATION:
                     self._runs_at[run.worker.incarnation].append(run)
         return self._runs_at.get(worker.incarnation, [])
 
--- a/src/bellweir/hosted/batches/formats.py
+++ b/src/bellweir/hosted/batches/formats.py
@@ -107,7 +107,7 @@
         ResultDocument(
             id=result.item_id,
             state=COMPLETED if result.is_complete else DEAD,
-            text=result.whole_text,
+            text=result.full_text,
             versions=list(result.versions),
             score=result.score or None,
         )
--- a/src/bellweir/hosted/batches/mover.py
+++ b/src/bellweir/hosted/batches/mover.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable, Sequence
 
 from bellweir.events.log import emit
-from bellweir.hosted.batches.attempts import ItemAttempts
+from bellweir.hosted.batches.attempts import ItemRunner
 from bellweir.hosted.batches.moves import MoveTarget, PlannedMove, RunOutlook, plan_moves
 from bellweir.hosted.batches.own_pauses import OwnPauses
 from bellweir.hosted.batches.progress import ItemProgress, Stage
@@ -38,7 +38,7 @@
     @property
     def heard_s(self) -> float:
         """Time of its last event, or of its hand-out before it has one."""
-        return max(self.began_s, self.progress.heard_s)
+        return max(self.began_s, self.progress.last_event_s)
 
 
 TargetsOf = Callable[[ItemProgress, str], Sequence[tuple[Worker, int]]]
@@ -48,7 +48,7 @@
 class RunMover:
     """Called by the coordinator's task only."""
 
-    def __init__(self, attempts: ItemAttempts, now_s: Callable[[], float] = time.monotonic) -> None:
+    def __init__(self, attempts: ItemRunner, now_s: Callable[[], float] = time.monotonic) -> None:
         self._attempts = attempts
         self._now_s = now_s
         self._due_s = 0.0
@@ -64,7 +64,7 @@
         texts = [
             run
             for run in runs
-            if run.progress.stage is Stage.TEXT and not run.cancellation.cancelled.is_set()
+            if run.progress.stage is Stage.GENERATION and not run.cancellation.cancelled.is_set()
         ]
         silent = self._silent_workers(texts, now_s)
         # A run stays with its service, so that split routes keep their shares.
@@ -89,7 +89,7 @@
         targets = [
             MoveTarget(
                 worker.incarnation,
-                self._attempts.paces.of(worker.incarnation),
+                self._attempts.event_times.of(worker.incarnation),
                 room - taken.get(worker.incarnation, 0),
             )
             for worker, room in found
@@ -117,9 +117,9 @@
     def _outlook(self, run: Run, now_s: float) -> RunOutlook[Run]:
         progress = run.progress
         made = progress.events
-        expected = self._attempts.expected_events(progress)
+        expected = self._attempts.predicted_events(progress)
         left = max(expected - made, OVERRUN_SHARE * made, FEWEST_LEFT_EVENTS)
-        pace_s = self._attempts.paces.of(run.worker.incarnation)
+        pace_s = self._attempts.event_times.of(run.worker.incarnation)
         # Events that came while this process stood still are not read yet: their worker made them.
         silent_s = now_s - run.heard_s - self._pauses.since(run.heard_s)
         return RunOutlook(run, run.worker.incarnation, pace_s, silent_s, left)
@@ -138,7 +138,7 @@
             left_events=round(outlook.left_events),
             silent_ms=round(1000 * outlook.silent_s),
             pace_ms=round(1000 * outlook.pace_s),
-            target_pace_ms=round(1000 * self._attempts.paces.of(move.target)),
+            target_pace_ms=round(1000 * self._attempts.event_times.of(move.target)),
         )
         progress.moved_to = move.target
         progress.moved_s = now_s
--- a/src/bellweir/hosted/batches/progress.py
+++ b/src/bellweir/hosted/batches/progress.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from bellweir.hosted.batches.state import ItemResult, Job, JobItem, TextPart
+from bellweir.hosted.batches.state import ItemResult, Job, JobItem, TextCheckpoint
 from bellweir.hosted.batches.texts import pack_text, unpack_text
 from bellweir.hosted.event_stream import StreamEvent
 from bellweir.hosted.incarnation import Incarnation
@@ -14,9 +14,9 @@
 class Stage(Enum):
     """What an item needs next."""
 
-    TEXT = "text"
+    GENERATION = "text"
     """Its events, or the rest of them."""
-    SCORE = "score"
+    SCORING = "score"
     """Its text is whole and is to be scored."""
     RESULT = "result"
     """Its result waits to be committed."""
@@ -41,21 +41,21 @@
     job: Job
     route: Route
     item: JobItem
-    stage: Stage = Stage.TEXT
+    stage: Stage = Stage.GENERATION
     pieces: list[str] = field(default_factory=list)
     last_event_id: int | None = None
     events: int = 0
     """Events that the pieces hold; a piece taken over from elsewhere may hold several."""
-    kept_events: int = 0
+    checkpointed_events: int = 0
     """Events of these that were handed to the committer to be kept."""
-    kept_pieces: int = 0
-    kept_s: float = 0.0
+    checkpointed_pieces: int = 0
+    checkpointed_s: float = 0.0
     """Monotonic time at which that was done last, or at which the run began."""
     versions: list[int] = field(default_factory=list)
     """Versions that made events, in order of their first one."""
-    failed_at: list[Incarnation] = field(default_factory=list)
+    generation_failures: list[Incarnation] = field(default_factory=list)
     """The worker of each answer of 500 to the item's own request."""
-    score_failed_at: list[Incarnation] = field(default_factory=list)
+    scoring_failures: list[Incarnation] = field(default_factory=list)
     """The same for its scoring."""
     score: str = ""
     attempts: int = 0
@@ -66,7 +66,7 @@
     """Whether the committer has the result."""
     guessed_tokens: float | None = None
     """Tokens that the caller guesses the text to have."""
-    heard_s: float = 0.0
+    last_event_s: float = 0.0
     """Monotonic time of the newest event of the run in hand, or of its start."""
     moved_s: float = 0.0
     """Monotonic time at which it was last moved to another worker."""
@@ -78,9 +78,9 @@
     """Monotonic time since which it waits for a better worker while others have room."""
 
     @property
-    def failed_at_now(self) -> list[Incarnation]:
+    def stage_failures(self) -> list[Incarnation]:
         """Workers that failed what the item needs next."""
-        return self.score_failed_at if self.stage is Stage.SCORE else self.failed_at
+        return self.scoring_failures if self.stage is Stage.SCORING else self.generation_failures
 
     def add_event(self, event: StreamEvent, version: int | None) -> None:
         """Append an event made by `version`; events that are known already are dropped.
@@ -114,42 +114,42 @@
         self.pieces.clear()
         self.versions.clear()
         self.last_event_id = None
-        self.events = self.kept_events = self.kept_pieces = 0
+        self.events = self.checkpointed_events = self.checkpointed_pieces = 0
 
-    def take_part(self) -> TextPart | None:
+    def take_checkpoint(self) -> TextCheckpoint | None:
         """Return the events made since the last part was taken; by the attempt in hand."""
-        count = self.events - self.kept_events
+        count = self.events - self.checkpointed_events
         if count <= 0:
             return None
-        text = "\n".join(self.pieces[self.kept_pieces :])
-        part = TextPart(
+        text = "\n".join(self.pieces[self.checkpointed_pieces :])
+        part = TextCheckpoint(
             self.item.id,
-            self.kept_events,
+            self.checkpointed_events,
             count,
             self.last_event_id,
             pack_text(text),
             tuple(self.versions),
         )
-        self.kept_events = self.events
-        self.kept_pieces = len(self.pieces)
+        self.checkpointed_events = self.events
+        self.checkpointed_pieces = len(self.pieces)
         return part
 
-    def go_on_from(self, parts: Sequence[TextPart]) -> bool:
+    def resume_from(self, parts: Sequence[TextCheckpoint]) -> bool:
         """Take over what another leader had kept; False where that doesn't fit the job."""
         versions = parts[-1].versions if parts else ()
         is_fresh = bool(versions) and min(versions) >= self.job.minimum_version
         if not is_fresh or (self.route.single_version and len(versions) > 1):
             return False
-        self.pieces = [unpack_text(part.packed) for part in parts]
+        self.pieces = [unpack_text(part.compressed) for part in parts]
         self.versions = list(versions)
         self.last_event_id = parts[-1].last_event_id
-        self.events = self.kept_events = sum(part.events for part in parts)
-        self.kept_pieces = len(self.pieces)
+        self.events = self.checkpointed_events = sum(part.events for part in parts)
+        self.checkpointed_pieces = len(self.pieces)
         return True
 
-    def text_is_whole(self) -> None:
+    def complete_generation(self) -> None:
         """Note that the last event has come."""
-        self.stage = Stage.SCORE if self.item.scorer is not None else Stage.RESULT
+        self.stage = Stage.SCORING if self.item.scorer is not None else Stage.RESULT
         if self.stage is Stage.RESULT:
             self.finish("")
 
@@ -157,28 +157,28 @@
         """The result is whole; of its text only what no kept part has is sent."""
         self.stage = Stage.RESULT
         self.score = score
-        if self.kept_events == 0:
-            self.result = self.whole_result()
+        if self.checkpointed_events == 0:
+            self.result = self.full_result()
             return
-        tail = self.pieces[self.kept_pieces :]
+        tail = self.pieces[self.checkpointed_pieces :]
         self.result = ItemResult(
             self.item.id,
             True,
             versions=tuple(sorted(self.versions)),
             score=score,
-            packed=pack_text("\n".join(tail)) if tail else b"",
+            compressed=pack_text("\n".join(tail)) if tail else b"",
             length=len("\n".join(self.pieces)),
-            behind=self.kept_events,
+            checkpointed_events=self.checkpointed_events,
         )
 
-    def whole_result(self) -> ItemResult:
+    def full_result(self) -> ItemResult:
         """The result with its whole text, for a log that lacks the kept parts."""
         text = "\n".join(self.pieces)
         versions = tuple(sorted(self.versions))
-        return ItemResult.made(self.item.id, True, text, versions, self.score)
+        return ItemResult.from_text(self.item.id, True, text, versions, self.score)
 
     def give_up(self) -> None:
         """The item can't be done."""
         self.stage = Stage.RESULT
         text = "\n".join(self.pieces)
-        self.result = ItemResult.made(self.item.id, False, text, tuple(sorted(self.versions)))
+        self.result = ItemResult.from_text(self.item.id, False, text, tuple(sorted(self.versions)))
--- a/src/bellweir/hosted/batches/result_cache.py
+++ b/src/bellweir/hosted/batches/result_cache.py
@@ -14,7 +14,7 @@
 CacheKey = tuple[str, str]
 """Tenant that reads, and id of the job: what one tenant has been shown proves nothing for others.
 Joined to one text, tenant `a` with job `b/c` would be tenant `a/b` with job `c`."""
-MAXIMUM_BYTES = 12 << 20
+MAX_BYTES = 12 << 20
 """Text kept of all jobs; the job that was read longest ago goes first."""
 
 
@@ -28,7 +28,7 @@
 class ResultCache:
     """Safe for threads."""
 
-    def __init__(self, maximum_bytes: int = MAXIMUM_BYTES) -> None:
+    def __init__(self, maximum_bytes: int = MAX_BYTES) -> None:
         self._maximum_bytes = maximum_bytes
         self._lock = threading.Lock()
         self._jobs: OrderedDict[CacheKey, _Known] = OrderedDict()
--- a/src/bellweir/hosted/batches/retention.py
+++ b/src/bellweir/hosted/batches/retention.py
@@ -1,15 +1,15 @@
-"""Forgets ended jobs once they need not be read any more, on the node that leads their shard.
+"""Removes ended jobs after the retention time, on the node that leads their shard.
 
-Each replica notes on its own steady clock since when its state shows the present count of
-`KeptTime`. So a new leader goes on counting where the one before it stopped, and one that was
-frozen adds nothing to what others counted meanwhile.
+Each replica records on its own monotonic clock when its state first showed the current reading of
+the `RetentionClock`, so a new leader continues from there, and a leader that was suspended adds
+nothing to what others counted meanwhile.
 
-An ended job is kept for `statusS` at least. How much longer is bounded. A count may lack the time
-until it is seen, at most `LOOK_PERIOD_S` in `COUNT_PERIOD_S` where each count is another leader's,
-and just the time of a commit where the leader stays. At the end and at the beginning of a job's
-time up to a period of both passes. So it is forgotten within `statusS` times 1.25 and 5 s, and the
-time in which nobody could count: while no leader could commit, and, where all replicas start anew,
-from the last count to the start.
+An ended job is kept for at least `statusS`, and removed within 1.25 times that plus 5 s. A reading
+may lose the time until a replica sees it: up to `CHECK_INTERVAL_S` per `COUNT_INTERVAL_S` where
+each reading is another leader's, only a commit's duration where the leader stays. The start and
+the end of a job's time are each rounded up by up to one interval. Time in which nobody can count is
+not included: while no leader can commit, and, where all replicas restart, from the last committed
+reading on.
 """
 
 import threading
@@ -19,8 +19,8 @@
 from bellweir.hosted.batches.state import JOBS_KEY, BatchJobs, ForgetJobs
 from bellweir.ledger.interface import Ledger
 
-LOOK_PERIOD_S = 0.5
-COUNT_PERIOD_S = 2.0
+CHECK_INTERVAL_S = 0.5
+COUNT_INTERVAL_S = 2.0
 """Time between two counts. It must be shorter than the lives of processes, since a count that is
 not in the log when all of them start anew is lost. While no ended job is kept nothing is counted,
 so that an idle shard writes nothing."""
@@ -47,10 +47,10 @@
 
     def run(self, stopping: threading.Event) -> None:
         """Look again and again, until `stopping`."""
-        while not stopping.wait(LOOK_PERIOD_S):
-            self.look()
+        while not stopping.wait(CHECK_INTERVAL_S):
+            self.check()
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Note the count that this replica shows; where it leads, count on and forget."""
         machine = self._ledger.local_machine(JOBS_KEY, BatchJobs)
         if not isinstance(machine, BatchJobs):
@@ -59,13 +59,13 @@
         if self._note(machine) or self._seen_ms is None or not self._ledger.leads(JOBS_KEY):
             return
         passed_s = self._now_s() - self._since_s
-        if passed_s >= COUNT_PERIOD_S:
+        if passed_s >= COUNT_INTERVAL_S:
             self._count(machine, self._seen_ms, int(1_000 * passed_s))
             self._note(machine)
 
     def _note(self, machine: BatchJobs) -> bool:
         """Note the count that the state shows; True when it is another one than before."""
-        counted_ms = machine.kept.counted_ms
+        counted_ms = machine.retention_clock.counted_ms
         if counted_ms == self._seen_ms:
             return False
         # The clock is read after the count: that was reached before this moment, never after it.
@@ -78,6 +78,6 @@
             return
         # Not from the state's count: if others have counted on meanwhile, it holds this time, too.
         now_ms = counted_ms + elapsed_ms
-        old = tuple(machine.kept.began_before(now_ms - 1_000 * self._status_s))
+        old = tuple(machine.retention_clock.started_before(now_ms - 1_000 * self._status_s))
         # What fails is counted by a later look, from the same count or from the one it led to.
         self._ledger.submit(JOBS_KEY, ForgetJobs(old, counted_ms, elapsed_ms), SUBMIT_TIMEOUT_S)
--- a/src/bellweir/hosted/batches/kept_time.py
+++ b/src/bellweir/hosted/batches/retention_clock.py
@@ -10,16 +10,16 @@
 import msgspec
 
 
-class KeptTime(msgspec.Struct):
+class RetentionClock(msgspec.Struct):
     """Milliseconds that leaders have counted, and the count at which each job's time began.
 
     Whole milliseconds, rounded down, so that sums are exact and alike on all replicas. The cost of
     an ended job is one entry, which goes with the job.
 
-    >>> kept = KeptTime()
-    >>> kept.add(0, 2_000, ["job"])
-    >>> kept.add(2_000, 3_000, ["job"])
-    >>> kept.began_before(2_001), kept.began_before(2_000)
+    >>> clock = RetentionClock()
+    >>> clock.advance(0, 2_000, ["job"])
+    >>> clock.advance(2_000, 3_000, ["job"])
+    >>> clock.started_before(2_001), clock.started_before(2_000)
     (['job'], [])
     """
 
@@ -27,7 +27,7 @@
     since_ms: dict[str, int] = {}
     """Counts by ended job. A job that was ended after the last count has none yet."""
 
-    def add(self, from_ms: int, elapsed_ms: int, ended: Iterable[str]) -> None:
+    def advance(self, from_ms: int, elapsed_ms: int, ended: Iterable[str]) -> None:
         """Count `elapsed_ms` that have passed since the count was `from_ms`.
 
         `ended` names all jobs that are ended now. Nothing happens when another leader has counted
@@ -44,10 +44,10 @@
         for job_id in ended:
             self.since_ms.setdefault(job_id, self.counted_ms)
 
-    def began_before(self, count_ms: float) -> list[str]:
+    def started_before(self, count_ms: float) -> list[str]:
         """Return the jobs whose time surely began before a count."""
         return [job_id for job_id, at_ms in list(self.since_ms.items()) if at_ms < count_ms]
 
-    def forget(self, job_id: str) -> None:
+    def remove(self, job_id: str) -> None:
         """Drop what is noted of a job."""
         self.since_ms.pop(job_id, None)
--- a/src/bellweir/hosted/batches/service.py
+++ b/src/bellweir/hosted/batches/service.py
@@ -2,7 +2,7 @@
 
 import threading
 
-from bellweir.hosted.batches.attempts import ItemAttempts
+from bellweir.hosted.batches.attempts import ItemRunner
 from bellweir.hosted.batches.coordinator import Coordinator
 from bellweir.hosted.batches.retention import JobRetention
 from bellweir.hosted.batches.state import JOBS_KEY, BatchJobs, JobState
@@ -21,7 +21,7 @@
 from bellweir.ledger.service import LedgerService
 from bellweir.wire.interface import Transport
 
-TIDY_PERIOD_S = 2.0
+CLEANUP_INTERVAL_S = 2.0
 
 
 class BatchService(Service, LoadListener):
@@ -43,7 +43,7 @@
         self._views.workers.subscribe_addresses(self._connections.renew)
         ledger = registry.find(names.LEDGER, LedgerService)
         ledger.register(BatchJobs)
-        self._attempts = ItemAttempts(self._connections, self._loads)
+        self._attempts = ItemRunner(self._connections, self._loads)
         coordinator = Coordinator(
             ledger,
             self._views.configuration,
@@ -62,7 +62,7 @@
         self._kernel.executors.run_task("batch-coordinator", coordinator.run)
         self._kernel.executors.run_task("batch-committer", coordinator.committer.run)
         self._kernel.executors.run_task("batch-retention", retention.run)
-        self._kernel.executors.run_task("batch-tidy", self._tidy)
+        self._kernel.executors.run_task("batch-tidy", self._clean_up)
 
     def _add_gauges(
         self, metrics: RequestMetrics, ledger: LedgerService, coordinator: Coordinator
@@ -89,7 +89,7 @@
         metrics.add_gauge(
             "bellweir_workers_left_alone",
             "On the jobs' leader: workers that load weights or refused a model's runs just now.",
-            lambda: float(self._attempts.refusals.left_alone_count()),
+            lambda: float(self._attempts.refusal_backoff.left_alone_count()),
         )
         metrics.add_gauge(
             "bellweir_ledger_leads",
@@ -104,17 +104,17 @@
 
     def load_told(self, worker: Incarnation, model: str, for_s: float) -> None:
         """Leave a worker alone while it loads a model's weights."""
-        self._attempts.refusals.load_told(worker, model, for_s)
+        self._attempts.refusal_backoff.load_told(worker, model, for_s)
 
     def stop(self) -> None:
         """The tasks end with the executors."""
 
-    def _tidy(self, stopping: threading.Event) -> None:
-        while not stopping.wait(TIDY_PERIOD_S):
+    def _clean_up(self, stopping: threading.Event) -> None:
+        while not stopping.wait(CLEANUP_INTERVAL_S):
             workers = self._views.workers.all()
             incarnations = {worker.incarnation for worker in workers}
             self._loads.forget_others(incarnations)
-            self._attempts.refusals.forget_others(incarnations)
-            self._attempts.failing.forget_others(incarnations)
-            self._attempts.paces.forget_others(incarnations)
+            self._attempts.refusal_backoff.forget_others(incarnations)
+            self._attempts.quarantine.forget_others(incarnations)
+            self._attempts.event_times.forget_others(incarnations)
             self._connections.forget_others({worker.address for worker in workers})
--- a/src/bellweir/hosted/batches/state.py
+++ b/src/bellweir/hosted/batches/state.py
@@ -10,7 +10,7 @@
 import cbor2
 import msgspec
 
-from bellweir.hosted.batches.kept_time import KeptTime
+from bellweir.hosted.batches.retention_clock import RetentionClock
 from bellweir.hosted.batches.texts import pack_text, unpack_text
 from bellweir.ledger.interface import Command, Query, Reply, StateMachine
 
@@ -23,9 +23,9 @@
 NO_SUCH_JOB = "no such job"
 JOB_IS_ENDED = "job ended"
 NO_SUCH_ITEM = "no such item"
-LISTED_BEFORE = "listed before"
-PARTS_MISSING = "parts missing"
-MAXIMUM_STAGED_JOBS = 16
+ALREADY_RECORDED = "listed before"
+CHECKPOINTS_MISSING = "parts missing"
+MAX_STAGED_JOBS = 16
 """Jobs whose parts wait at once; a client that gave up leaves its parts behind."""
 
 
@@ -36,7 +36,7 @@
     page: list[ItemResult] = []
     size = 0
     for result in results[after:]:
-        size += result.shown_size
+        size += result.response_size
         if page and size > page_bytes:
             break
         page.append(result)
@@ -83,7 +83,7 @@
     tenant: str = ""
     """Whose key handed it in; empty where none was needed: then anyone may read and end it."""
 
-    def is_shown_to(self, tenant: str) -> bool:
+    def is_visible_to(self, tenant: str) -> bool:
         """Whether a tenant may know of it; to all others it isn't there."""
         return not self.tenant or self.tenant == tenant
 
@@ -95,46 +95,50 @@
     is_complete: bool
     """Whether the text is whole; otherwise the item was given up."""
     text: str = ""
-    """The text as results of earlier releases have it; `whole_text` reads both forms."""
+    """The text as results of earlier releases have it; `full_text` reads both forms."""
     versions: tuple[int, ...] = ()
     score: str = ""
-    packed: bytes = b""
+    compressed: bytes = msgspec.field(default=b"", name="packed")
     """The text packed by `pack_text`."""
     length: int = 0
     """Characters of the whole text."""
-    earlier: tuple[bytes, ...] = ()
+    compressed_checkpoints: tuple[bytes, ...] = msgspec.field(default=(), name="earlier")
     """Packed parts before `packed`, as they were kept while the text was made."""
-    behind: int = 0
+    checkpointed_events: int = msgspec.field(default=0, name="behind")
     """In a command: events in kept parts that `packed` goes on behind; they are not sent again."""
 
     @classmethod
-    def made(
+    def from_text(
         cls, item_id: str, is_complete: bool, text: str, versions: tuple[int, ...], score: str = ""
     ) -> "ItemResult":
         """Return a result with its text packed."""
         return cls(item_id, is_complete, "", versions, score, pack_text(text), len(text))
 
     @property
-    def whole_text(self) -> str:
+    def full_text(self) -> str:
         """The text, unpacked."""
-        if not self.packed and not self.earlier:
+        if not self.compressed and not self.compressed_checkpoints:
             return self.text
-        packed = (*self.earlier, self.packed) if self.packed else self.earlier
+        packed = (
+            (*self.compressed_checkpoints, self.compressed)
+            if self.compressed
+            else self.compressed_checkpoints
+        )
         return "\n".join(unpack_text(each) for each in packed)
 
     @property
-    def shown_size(self) -> int:
+    def response_size(self) -> int:
         """Bytes that it takes where a client reads it, about."""
         return len(self.text) + self.length + RESULT_OVERHEAD_BYTES
 
     @property
     def size(self) -> int:
         """Bytes that it takes between nodes and in memory, about."""
-        packed = len(self.packed) + sum(len(each) for each in self.earlier)
+        packed = len(self.compressed) + sum(len(each) for each in self.compressed_checkpoints)
         return len(self.text) + packed + RESULT_OVERHEAD_BYTES
 
 
-class TextPart(msgspec.Struct, frozen=True):
+class TextCheckpoint(msgspec.Struct, frozen=True):
     """Some events of a text in the making, kept so that another leader can go on behind them."""
 
     item_id: str
@@ -143,7 +147,7 @@
     events: int
     """Number of these events."""
     last_event_id: int | None
-    packed: bytes
+    compressed: bytes = msgspec.field(name="packed")
     """Their data, joined as in a result and packed."""
     versions: tuple[int, ...]
     """Versions that made the text so far, in order of their first event."""
@@ -177,7 +181,7 @@
     """Keep parts of texts in the making; of items without a result, while the job is open."""
 
     job_id: str
-    parts: tuple[TextPart, ...]
+    parts: tuple[TextCheckpoint, ...]
 
 
 class EndJob(Command, frozen=True):
@@ -265,10 +269,10 @@
     def __init__(self, job: Job) -> None:
         self.job = job
         self.results: list[ItemResult] = []
-        self.listed: set[str] = set()
+        self.recorded_ids: set[str] = set()
         self.ended_at_s: float | None = None
         self.items = {item.id: item for item in job.items}
-        self.parts: dict[str, tuple[TextPart, ...]] = {}
+        self.checkpoints: dict[str, tuple[TextCheckpoint, ...]] = {}
         """Parts of texts in the making by item, each one behind the one before it."""
 
     @property
@@ -276,43 +280,45 @@
         """Whether its items are to be run."""
         return self.ended_at_s is None
 
-    def add(self, result: ItemResult) -> bool:
+    def add_result(self, result: ItemResult) -> bool:
         """Append a result.
 
         False when the item has one, is not of this job, or lacks the parts that it goes on behind.
         """
-        if result.item_id in self.listed or result.item_id not in self.items:
+        if result.item_id in self.recorded_ids or result.item_id not in self.items:
             return False
-        if result.behind:
-            before = self._parts_up_to(result.item_id, result.behind)
+        if result.checkpointed_events:
+            before = self._checkpoints_up_to(result.item_id, result.checkpointed_events)
             if before is None:
                 return False
-            earlier = tuple(part.packed for part in before)
-            result = msgspec.structs.replace(result, earlier=earlier, behind=0)
-        self.listed.add(result.item_id)
+            earlier = tuple(part.compressed for part in before)
+            result = msgspec.structs.replace(
+                result, compressed_checkpoints=earlier, checkpointed_events=0
+            )
+        self.recorded_ids.add(result.item_id)
         self.results.append(result)
-        self.parts.pop(result.item_id, None)
+        self.checkpoints.pop(result.item_id, None)
         return True
 
-    def keep(self, part: TextPart) -> bool:
+    def add_checkpoint(self, part: TextCheckpoint) -> bool:
         """Keep a part behind those that it goes on from; False when it doesn't join them.
 
         A new leader may have gone on from an earlier part than the newest one: what its part
         replaces goes.
         """
-        if part.item_id in self.listed or part.item_id not in self.items:
+        if part.item_id in self.recorded_ids or part.item_id not in self.items:
             return False
-        before = self._parts_up_to(part.item_id, part.after)
+        before = self._checkpoints_up_to(part.item_id, part.after)
         if before is None:
             return False
-        self.parts[part.item_id] = (*before, part)
+        self.checkpoints[part.item_id] = (*before, part)
         return True
 
-    def _parts_up_to(self, item_id: str, wanted: int) -> tuple[TextPart, ...] | None:
+    def _checkpoints_up_to(self, item_id: str, wanted: int) -> tuple[TextCheckpoint, ...] | None:
         """Kept parts that hold an item's first `wanted` events; None where no part ends there."""
-        before: list[TextPart] = []
+        before: list[TextCheckpoint] = []
         events = 0
-        for known in self.parts.get(item_id, ()):
+        for known in self.checkpoints.get(item_id, ()):
             if events == wanted:
                 break
             before.append(known)
@@ -324,13 +330,15 @@
     job: Job
     results: tuple[ItemResult, ...]
     ended_at_s: float | None
-    parts: dict[str, tuple[TextPart, ...]] = {}
+    checkpoints: dict[str, tuple[TextCheckpoint, ...]] = msgspec.field(
+        default_factory=dict, name="parts"
+    )
 
 
 class _SavedState(msgspec.Struct, frozen=True):
     jobs: tuple[_SavedJob, ...]
     staged: dict[str, dict[int, tuple[JobItem, ...]]]
-    kept: KeptTime = msgspec.field(default_factory=KeptTime)
+    retention_clock: RetentionClock = msgspec.field(default_factory=RetentionClock, name="kept")
 
 
 class BatchJobs(StateMachine):
@@ -340,7 +348,7 @@
         self.jobs: dict[str, JobState] = {}
         self.staged: dict[str, dict[int, tuple[JobItem, ...]]] = {}
         """Parts of jobs that are not accepted yet, by job and number; the oldest job first."""
-        self.kept = KeptTime()
+        self.retention_clock = RetentionClock()
 
     def command_types(self) -> tuple[type[Command], ...]:
         """Commands it applies."""
@@ -375,7 +383,7 @@
         staged = self.staged.pop(job.id, {})
         known = self.jobs.get(job.id)
         if known is not None:
-            return JobAccepted(False, is_foreign=not known.job.is_shown_to(job.tenant))
+            return JobAccepted(False, is_foreign=not known.job.is_visible_to(job.tenant))
         if parts:
             if any(part not in staged for part in range(parts)):
                 return JobAccepted(False, False)
@@ -387,7 +395,7 @@
     def _stage(self, job_id: str, part: int, items: tuple[JobItem, ...]) -> Reply:
         if job_id not in self.jobs:
             self.staged.setdefault(job_id, {})[part] = items
-        while len(self.staged) > MAXIMUM_STAGED_JOBS:
+        while len(self.staged) > MAX_STAGED_JOBS:
             del self.staged[next(iter(self.staged))]
         return JobAccepted(False)
 
@@ -398,23 +406,23 @@
             return ResultsRecorded(0, {result.item_id: cause for result in results})
         dropped: dict[str, str] = {}
         for result in results:
-            if result.item_id in state.listed:
-                dropped[result.item_id] = LISTED_BEFORE
-            elif not state.add(result):
+            if result.item_id in state.recorded_ids:
+                dropped[result.item_id] = ALREADY_RECORDED
+            elif not state.add_result(result):
                 is_known = result.item_id in state.items
-                dropped[result.item_id] = PARTS_MISSING if is_known else NO_SUCH_ITEM
+                dropped[result.item_id] = CHECKPOINTS_MISSING if is_known else NO_SUCH_ITEM
         return ResultsRecorded(len(results) - len(dropped), dropped)
 
-    def _keep(self, job_id: str, parts: tuple[TextPart, ...]) -> Reply:
+    def _keep(self, job_id: str, parts: tuple[TextCheckpoint, ...]) -> Reply:
         state = self.jobs.get(job_id)
         if state is None or not state.is_open:
             return ResultsRecorded(0)
-        return ResultsRecorded(sum(state.keep(part) for part in parts))
+        return ResultsRecorded(sum(state.add_checkpoint(part) for part in parts))
 
     def _shown(self, job_id: str, tenant: str) -> JobState | None:
         """A job as a tenant may know of it."""
         state = self.jobs.get(job_id)
-        return state if state is not None and state.job.is_shown_to(tenant) else None
+        return state if state is not None and state.job.is_visible_to(tenant) else None
 
     def _end(self, job_id: str, at_s: float, tenant: str) -> Reply:
         state = self._shown(job_id, tenant)
@@ -422,16 +430,16 @@
             return JobEnded(False)
         if state.is_open:
             state.ended_at_s = at_s
-            state.parts.clear()
+            state.checkpoints.clear()
         return JobEnded(True)
 
     def _forget(self, command: ForgetJobs) -> Reply:
         for job_id in command.job_ids:
             self.jobs.pop(job_id, None)
-            self.kept.forget(job_id)
+            self.retention_clock.remove(job_id)
         if command.elapsed_ms:
             ended = [state.job.id for state in self.jobs.values() if not state.is_open]
-            self.kept.add(command.from_ms, command.elapsed_ms, ended)
+            self.retention_clock.advance(command.from_ms, command.elapsed_ms, ended)
         return JobEnded(True)
 
     def answer(self, query: Query) -> Reply:
@@ -450,17 +458,17 @@
 
     def _read_item(self, state: JobState | None, item_id: str) -> Reply:
         item = state.items.get(item_id) if state else None
-        if state is None or item is None or not state.is_open or item_id in state.listed:
+        if state is None or item is None or not state.is_open or item_id in state.recorded_ids:
             return ItemBody(None)
         return ItemBody(item.body)
 
     def save(self) -> bytes:
         """The whole state."""
         saved = [
-            _SavedJob(state.job, tuple(state.results), state.ended_at_s, dict(state.parts))
+            _SavedJob(state.job, tuple(state.results), state.ended_at_s, dict(state.checkpoints))
             for state in self.jobs.values()
         ]
-        whole = _SavedState(tuple(saved), self.staged, self.kept)
+        whole = _SavedState(tuple(saved), self.staged, self.retention_clock)
         return cbor2.dumps(msgspec.to_builtins(whole, builtin_types=(bytes,)))
 
     def load(self, state: bytes) -> None:
@@ -469,11 +477,11 @@
         self.jobs = {}
         whole = msgspec.convert(plain, _SavedState)
         self.staged = whole.staged
-        self.kept = whole.kept
+        self.retention_clock = whole.retention_clock
         for saved in whole.jobs:
             job = JobState(saved.job)
             for result in saved.results:
-                job.add(result)
+                job.add_result(result)
             job.ended_at_s = saved.ended_at_s
-            job.parts = dict(saved.parts)
+            job.checkpoints = dict(saved.checkpoints)
             self.jobs[saved.job.id] = job
--- a/src/bellweir/hosted/batches/step_queue.py
+++ b/src/bellweir/hosted/batches/step_queue.py
@@ -74,16 +74,16 @@
 
     def __init__(
         self,
-        expected_events: Callable[[ItemProgress], float | None],
+        predicted_events: Callable[[ItemProgress], float | None],
         paces_of: Callable[[str], Sequence[tuple[float, int]]],
         now_s: Callable[[], float] = time.monotonic,
         wall_s: Callable[[], float] = time.time,
     ) -> None:
         """`paces_of` returns seconds an event and places of each engine of a service.
 
-        While `expected_events` tells None, nothing is taken to be late for what it still needs.
+        While `predicted_events` tells None, nothing is taken to be late for what it still needs.
         """
-        self._expected_events = expected_events
+        self._expected_events = predicted_events
         self._paces_of = paces_of
         self._now_s = now_s
         self._wall_s = wall_s
@@ -164,8 +164,8 @@
             names.add(name)
             key = (job.id, item.id)
             progress = progress_of.get(key)
-            is_made = progress is not None and progress.stage is not Stage.TEXT
-            if item.id in step.state.listed or is_made:
+            is_made = progress is not None and progress.stage is not Stage.GENERATION
+            if item.id in step.state.recorded_ids or is_made:
                 continue
             expected = self._expected_events(progress) if progress is not None else None
             left = 1.0
--- a/src/bellweir/hosted/batches/carried.py
+++ b/src/bellweir/hosted/batches/text_cache.py
@@ -12,12 +12,12 @@
 from bellweir.hosted.batches.progress import ItemProgress, Stage
 from bellweir.hosted.batches.state import JobItem, JobState
 
-MAXIMUM_TEXTS = 1_024
+MAX_TEXTS = 1_024
 """Beginnings of texts that are kept; the oldest goes first."""
 
 
 @dataclass(frozen=True)
-class _Beginning:
+class _CachedText:
     tenant: str
     item: JobItem
     pieces: tuple[str, ...]
@@ -27,17 +27,17 @@
     is_whole: bool
 
 
-class CarriedTexts:
+class TextCache:
     """Not safe for threads: its owner holds a lock."""
 
     def __init__(self) -> None:
-        self._beginnings: OrderedDict[str, _Beginning] = OrderedDict()
+        self._texts: OrderedDict[str, _CachedText] = OrderedDict()
 
-    def keep(self, progress: ItemProgress) -> None:
+    def add(self, progress: ItemProgress) -> None:
         """Keep what was made of an item whose job has ended."""
         if not progress.pieces:
             return
-        self._beginnings[progress.item.id] = _Beginning(
+        self._texts[progress.item.id] = _CachedText(
             progress.job.tenant,
             progress.item,
             tuple(progress.pieces),
@@ -46,16 +46,16 @@
             tuple(progress.versions),
             _is_whole(progress),
         )
-        while len(self._beginnings) > MAXIMUM_TEXTS:
-            self._beginnings.popitem(last=False)
+        while len(self._texts) > MAX_TEXTS:
+            self._texts.popitem(last=False)
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """Forget everything: another node leads."""
-        self._beginnings.clear()
+        self._texts.clear()
 
-    def hand_on(self, progress: ItemProgress, jobs: Iterable[JobState]) -> None:
+    def restore(self, progress: ItemProgress, jobs: Iterable[JobState]) -> None:
         """Give a new item what is known of its text, if that fits its job."""
-        beginning = self._beginnings.pop(progress.item.id, None) or _listed_text(progress, jobs)
+        beginning = self._texts.pop(progress.item.id, None) or _listed_text(progress, jobs)
         if beginning is None or not _fits(beginning, progress):
             return
         progress.pieces = list(beginning.pieces)
@@ -63,30 +63,30 @@
         progress.events = beginning.events
         progress.versions = list(beginning.versions)
         if beginning.is_whole:
-            progress.text_is_whole()
+            progress.complete_generation()
 
 
 def _is_whole(progress: ItemProgress) -> bool:
     result = progress.result
-    return progress.stage is Stage.SCORE or (result is not None and result.is_complete)
+    return progress.stage is Stage.SCORING or (result is not None and result.is_complete)
 
 
-def _listed_text(progress: ItemProgress, jobs: Iterable[JobState]) -> _Beginning | None:
+def _listed_text(progress: ItemProgress, jobs: Iterable[JobState]) -> _CachedText | None:
     """The whole text of an item that an earlier job lists as complete."""
     item_id = progress.item.id
     for state in jobs:
-        if state.job.id == progress.job.id or item_id not in state.listed:
+        if state.job.id == progress.job.id or item_id not in state.recorded_ids:
             continue
         for result in state.results:
             if result.item_id == item_id and result.is_complete:
                 item = state.items[item_id]
-                pieces = (result.whole_text,)
+                pieces = (result.full_text,)
                 tenant = state.job.tenant
-                return _Beginning(tenant, item, pieces, None, 0, result.versions, True)
+                return _CachedText(tenant, item, pieces, None, 0, result.versions, True)
     return None
 
 
-def _fits(beginning: _Beginning, progress: ItemProgress) -> bool:
+def _fits(beginning: _CachedText, progress: ItemProgress) -> bool:
     before, now = beginning.item, progress.item
     is_same = (before.path, before.headers, before.body) == (now.path, now.headers, now.body)
     is_same = is_same and beginning.tenant == progress.job.tenant
--- a/src/bellweir/hosted/batches/worker_choice.py
+++ b/src/bellweir/hosted/batches/worker_choice.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Collection, Sequence
 
-from bellweir.hosted.batches.attempts import ItemAttempts
+from bellweir.hosted.batches.attempts import ItemRunner
 from bellweir.hosted.batches.engine_outlook import EngineOutlook
 from bellweir.hosted.batches.mover import Run
 from bellweir.hosted.batches.progress import ItemProgress, Stage
@@ -21,7 +21,7 @@
         self,
         workers: WorkersView,
         loads: WorkerLoads,
-        attempts: ItemAttempts,
+        attempts: ItemRunner,
         policy: BatchSettings,
     ) -> None:
         self._workers = workers
@@ -31,7 +31,7 @@
         self._parts = WeightedParts()
         self._outlook = EngineOutlook(attempts, policy)
         if policy.set_failing_aside:
-            attempts.fellows_of = lambda worker: self._fellows(worker.entry.service)
+            attempts.service_workers_of = lambda worker: self._fellows(worker.entry.service)
 
     def begin_look(self, running: Sequence[Run], table: RouteTable) -> None:
         """Begin a look at what waits; `running` is what is in hand now."""
@@ -40,7 +40,7 @@
     def paces_of(self, service: str) -> list[tuple[float, int]]:
         """Seconds an event and places of each engine of a service."""
         return [
-            (self._attempts.paces.of(worker.incarnation), worker.entry.slots)
+            (self._attempts.event_times.of(worker.incarnation), worker.entry.slots)
             for worker in self._workers.ready(service)
         ]
 
@@ -52,14 +52,14 @@
     def take_worker(self, progress: ItemProgress, table: RouteTable) -> Worker | None:
         """Take a place at a worker with room; None when there is none now, or none good enough."""
         self._outlook.is_held = False
-        if progress.stage is Stage.SCORE:
+        if progress.stage is Stage.SCORING:
             route = score_route(progress, table)
             return self._choose(route, progress, table) if route is not None else None
         return self._choose(progress.route, progress, table)
 
     def targets(self, progress: ItemProgress, service: str) -> list[tuple[Worker, int]]:
         """Workers of a service that an item's run could be moved to, with their free places."""
-        failing = self._attempts.failing.failing_all(self._fellows(service))
+        failing = self._attempts.quarantine.failing_all(self._fellows(service))
         return [
             (worker, worker.entry.slots - self._loads.in_hand(worker.incarnation))
             for worker in self._fitting(service, progress)
@@ -69,12 +69,16 @@
     def is_particular(self, progress: ItemProgress) -> bool:
         """Whether an item may lack a worker that other items of its job would get."""
         is_pinned = progress.route.single_version and bool(progress.versions)
-        return bool(progress.failed_at_now) or is_pinned or self._policy.count_memory
+        return bool(progress.stage_failures) or is_pinned or self._policy.count_memory
 
     def let_versions_go(self, progress: ItemProgress) -> None:
         """Begin a text anew that must be of one version, if no worker has that any more."""
         route, model = progress.route, progress.job.model
-        if progress.stage is not Stage.TEXT or not route.single_version or not progress.versions:
+        if (
+            progress.stage is not Stage.GENERATION
+            or not route.single_version
+            or not progress.versions
+        ):
             return
         versions = [
             version
@@ -97,8 +101,8 @@
             return moved
         parts = tuple((part.service, part.weight) for part in route.parts)
         key = (table.version, route.host, route.path_prefix)
-        by_pace = progress.stage is Stage.TEXT and self._policy.choose_by_pace
-        pace_of = self._attempts.paces.of if by_pace else None
+        by_pace = progress.stage is Stage.GENERATION and self._policy.choose_by_pace
+        pace_of = self._attempts.event_times.of if by_pace else None
         for service in self._parts.peek(parts, key):
             fitting = self._fitting(service, progress)
             with_room = [worker for worker in fitting if self._has_room(worker, progress)]
@@ -120,7 +124,7 @@
     ) -> Worker | None:
         """Take a place at the best worker; None also where the item had better wait for one."""
         outlook = self._outlook
-        if progress.stage is Stage.SCORE or not with_room or not outlook.is_uneven(fitting):
+        if progress.stage is Stage.SCORING or not with_room or not outlook.is_uneven(fitting):
             return self._loads.choose(with_room, (), pace_of)
         full = [one for one in fitting if self._loads.in_hand(one.incarnation) >= one.entry.slots]
         chosen = outlook.choose(with_room, full, progress)
@@ -130,7 +134,7 @@
 
     def _moved_target(self, route: Route, progress: ItemProgress) -> Worker | None:
         """Take the place that a moved run was promised; its service has been charged for it."""
-        if progress.stage is not Stage.TEXT or not progress.moved_to:
+        if progress.stage is not Stage.GENERATION or not progress.moved_to:
             return None
         for part in route.parts:
             for worker in self._fitting(part.service, progress):
@@ -142,10 +146,10 @@
         return None
 
     def _note_begun(self, worker: Worker, progress: ItemProgress) -> None:
-        if progress.stage is Stage.TEXT:
-            self._attempts.refusals.begun(worker.incarnation, progress.job.model)
+        if progress.stage is Stage.GENERATION:
+            self._attempts.refusal_backoff.begun(worker.incarnation, progress.job.model)
             self._outlook.begun(worker, progress)
-        self._attempts.failing.begun(worker.incarnation, progress.item.id)
+        self._attempts.quarantine.begun(worker.incarnation, progress.item.id)
 
     def _fitting(self, service: str, progress: ItemProgress) -> list[Worker]:
         """Workers of a service that may run an item now, whether they have room or not.
@@ -164,11 +168,11 @@
     def _without_failing(
         self, workers: list[Worker], service: str, progress: ItemProgress
     ) -> list[Worker]:
-        failed_at = progress.failed_at_now
+        failed_at = progress.stage_failures
         fellows = self._fellows(service)
         # An item that was failed often is none to try a failing worker by.
         is_trial = len(failed_at) < progress.route.max_attempts
-        failing = self._attempts.failing
+        failing = self._attempts.quarantine
         alone = failing.left_alone(fellows)
         kept = [
             worker
@@ -186,9 +190,9 @@
         return self._policy.pass_over_failed and self._loads.is_avoided(worker.incarnation)
 
     def _has_room(self, worker: Worker, progress: ItemProgress) -> bool:
-        if progress.stage is Stage.TEXT:
+        if progress.stage is Stage.GENERATION:
             model = progress.job.model
-            refusals = self._attempts.refusals
+            refusals = self._attempts.refusal_backoff
             is_guarded = self._policy.guard_refusals
             if is_guarded and not refusals.may_begin(worker.incarnation, model):
                 return False
@@ -204,7 +208,7 @@
 
 
 def _fits(worker: Worker, progress: ItemProgress) -> bool:
-    if progress.stage is not Stage.TEXT or not progress.job.model:
+    if progress.stage is not Stage.GENERATION or not progress.job.model:
         return True
     version = worker.version_of(progress.job.model)
     if version is None:
--- a/src/bellweir/hosted/serving/application.py
+++ b/src/bellweir/hosted/serving/application.py
@@ -76,10 +76,10 @@
         if table is None:
             return own_response(503, "no_configuration", NO_CONFIGURATION_RETRY_AFTER_S)
         host = request.header("Host") or ""
-        if self._batches.is_call(request):
+        if self._batches.is_job_request(request):
             admission = self._admit(request, table, is_public=table.has_public_jobs(host))
             refusal = self._refuse_sender(request, admission)
-            return refusal or self._batches.serve_call(request, admission.tenant_name)
+            return refusal or self._batches.serve_job_request(request, admission.tenant_name)
         route = table.find(host, request.raw_path)
         if route is None and table.is_closed(host, request.raw_path):
             self._note_refusal(request, 503, "route_unreadable")
--- a/src/bellweir/hosted/serving/service.py
+++ b/src/bellweir/hosted/serving/service.py
@@ -160,7 +160,7 @@
             self._platform.headers,
             self._platform.paths,
             nearby_reads=self._settings.batches.nearby_reads,
-            count_put_off=metrics.add_counter(
+            count_deferred=metrics.add_counter(
                 "bellweir_readings_put_off",
                 "Readings of results answered 503, by what the zone's replica had.",
                 "nearby",
