--- a/src/bellweir/hosted/batches/__init__.py
+++ b/src/bellweir/hosted/batches/__init__.py
@@ -1,1 +1,1 @@
-"""Batch jobs: accepted durably, run by the shard's leader, read at fixed positions."""
+"""Batch jobs: durable acceptance, execution by the shard's leader, results at fixed positions."""
--- a/src/bellweir/hosted/batches/api.py
+++ b/src/bellweir/hosted/batches/api.py
@@ -1,4 +1,4 @@
-"""Calls about batch jobs at any gateway: hand in, read, end."""
+"""Batch job API of the gateways: submit, read and end jobs."""
 
 import threading
 import time
@@ -34,31 +34,31 @@
 from bellweir.ledger.interface import Ledger, LedgerError, LedgerErrorKind, Reply
 
 PAGE_BYTES = 700_000
-"""Characters read for one answer, about; the rest follows with the next call."""
+"""Approximate size of a page of results."""
 ACCEPT_TIMEOUT_S = 3.0
 MAX_PART_BYTES = 400_000
-"""Bodies in one command; the ledger takes a mebibyte."""
+"""Size of the items in one command, which may have at most 1 MiB."""
 ITEM_OVERHEAD_BYTES = 1_024
-"""Bytes of an item besides its body, at most about so many."""
+"""Estimated upper bound of an item's size without its body."""
 CALL_TIMEOUT_S = 1.5
 NEARBY_TIMEOUT_S = 0.15
-"""Time for the replica of the own zone, which answers in a few milliseconds."""
+"""Time for the replica in this zone."""
 LEADER_TIMEOUT_S = 0.9
-"""Time for the leader to answer a reading: longer than the 0.8 s after which a gateway that is cut
-off from the ledger turns to another one. A client gives up 1.5 s after the time for which it lets
-its reading be held; what is known elsewhere must be shown before."""
+"""Time for the leader to answer a read. It exceeds the 0.8 s after which a gateway without its ledger
+node uses another one, and leaves time to ask the replicas before the client gives up, 1.5 s after
+the hold time that it requested."""
 REMAINDER_TIMEOUT_S = 0.3
-"""The same where the zone's replica has given something: the next reading asks for the rest."""
+"""The same if the zone's replica has returned results: the next read gets the rest."""
 REPLICAS_TIMEOUT_S = 0.3
-"""Time for the replicas of all zones, while the leader does not answer."""
+"""Time for the replicas of all zones if the leader does not answer."""
 MAX_HOLD_S = 1.0
 HOLD_POLL_S = 0.15
-"""Pause between two looks while a reading is held until there is a result."""
+"""Interval at which a held read checks for new results."""
 RETRY_AFTER_S = 0.3
 
 
 class BatchApi:
-    """Serves the calls through the ledger."""
+    """Serves the batch job API from the ledger."""
 
     def __init__(
         self,
@@ -69,9 +69,9 @@
         nearby_reads: bool = True,
         count_deferred: Callable[[str], None] = lambda _: None,
     ) -> None:
-        """With `nearby_reads` results come from the replica of this zone as far as it has them.
+        """With `nearby_reads`, results are read from the replica in this zone if it has them.
 
-        `count_deferred` is called for each reading that is put off; see `PutOffReadings`.
+        `count_deferred` is called for each deferred read; see `PutOffReadings`.
         """
         self._ledger = ledger
         self._paths = paths
@@ -79,17 +79,17 @@
         self._nearby_reads = nearby_reads
         self._pause = threading.Event()
         self._cache = ResultCache()
-        self._put_off = PutOffReadings(count_deferred)
+        self._deferred_reads = PutOffReadings(count_deferred)
         self.accept_timeout_s = ACCEPT_TIMEOUT_S
 
     def is_job_request(self, request: Request) -> bool:
-        """Whether a request is a call about a job, not one of a route."""
+        """Whether a request is for the batch job API, not for a route."""
         return request.raw_path.startswith((self._paths.batch_job, self._paths.batch_item))
 
     def accept(self, request: Request, route: Route, tenant: str | None = None) -> Response:
-        """Take a job in; 202 once it is durable.
+        """Accept a job; respond with 202 once it is durable.
 
-        `tenant` is None where the deployment has no tenants, and empty for a job without a key.
+        `tenant` is None if the deployment has no tenants, and empty for a job without a key.
         """
         began_s = time.monotonic()
         job_id = request.header(self._names.request_id)
@@ -121,7 +121,7 @@
         return own_response(500, "unexpected_reply")
 
     def _submit_job(self, job: Job, deadline_s: float) -> Result[Reply, LedgerError]:
-        """Submit until the outcome is known: the command is idempotent by the job's id."""
+        """Retry until the outcome is known or the deadline; the command is idempotent by job id."""
         unknown: Result[Reply, LedgerError] | None = None
         while True:
             left_s = max(0.05, deadline_s - time.monotonic())
@@ -131,32 +131,36 @@
             if outcome.failure().kind is LedgerErrorKind.UNKNOWN:
                 unknown = outcome
             if time.monotonic() >= deadline_s:
-                # Once its outcome was unknown, a later refusal does not prove that it is not kept.
+                # After an unknown outcome, a later refusal doesn't prove that no try succeeded.
                 return unknown or outcome
 
     def _submit_once(self, job: Job, timeout_s: float) -> Result[Reply, LedgerError]:
-        """Submit a job, in parts if it is long. Nothing is kept before the last command."""
+        """Submit a job, staged in parts if it is large; the last command accepts it."""
         parts = split_items(job.items)
         if len(parts) <= 1:
             return self._ledger.submit(JOBS_KEY, AcceptJob(job), timeout_s)
         for number, items in enumerate(parts):
             staged = self._ledger.submit(JOBS_KEY, StageItems(job.id, number, items), timeout_s)
             if not isinstance(staged, Success):
-                return Failure(LedgerError(LedgerErrorKind.UNAVAILABLE, "a part was not staged"))
+                return Failure(
+                    LedgerError(LedgerErrorKind.UNAVAILABLE, "staging a part of the job failed")
+                )
         head = msgspec.structs.replace(job, items=())
         outcome = self._ledger.submit(JOBS_KEY, AcceptJob(head, len(parts)), timeout_s)
         if isinstance(outcome, Success) and outcome.unwrap() == JobAccepted(False, False):
-            return Failure(LedgerError(LedgerErrorKind.UNAVAILABLE, "its parts are gone"))
+            return Failure(
+                LedgerError(LedgerErrorKind.UNAVAILABLE, "staged parts of the job are missing")
+            )
         return outcome
 
     def _not_accepted(self, job: Job, error: LedgerError) -> Response:
-        surely_not = error.kind is LedgerErrorKind.UNAVAILABLE
-        status = 503 if surely_not else 504
+        is_rejected = error.kind is LedgerErrorKind.UNAVAILABLE
+        status = 503 if is_rejected else 504
         emit(JOB_NOT_ACCEPTED, request_id=job.id, status=status, cause=error.detail[:160])
-        return own_response(status, "not_accepted", RETRY_AFTER_S if surely_not else None)
+        return own_response(status, "not_accepted", RETRY_AFTER_S if is_rejected else None)
 
     def serve_job_request(self, request: Request, tenant: str = "") -> Response:
-        """Serve a reading, an item's body or an end, as far as `tenant` may know of the job."""
+        """Read results or an item's body, or end a job, if `tenant` may see it."""
         path = request.raw_path
         if path.startswith(self._paths.batch_item):
             return self._item_body(request, path.removeprefix(self._paths.batch_item), tenant)
@@ -184,7 +188,7 @@
             self._pause.wait(HOLD_POLL_S)
 
     def _read_page(self, job_id: str, after: int, tenant: str) -> ResultsPage | None:
-        """Results from a position on; None when nobody can tell."""
+        """Return results from position `after` on; None if no replica can tell."""
         key = (tenant, job_id)
         known = self._cache.page(key, after, PAGE_BYTES)
         if known is not None:
@@ -195,10 +199,10 @@
         return found
 
     def _read_ledger(self, job_id: str, after: int, tenant: str) -> ResultsPage | None:
-        """Results from the replica of this zone, then from the leader whatever that one lacks.
+        """Read results from the replica in this zone, and the rest from the leader.
 
-        A position never changes once it is there, so that an older answer is as good for it. That
-        there is no such job is believed of the leader only.
+        A position never changes, so a stale replica is good for what it has. Only the leader can
+        tell that a job does not exist.
         """
         near = self._read_nearby(job_id, after, tenant)
         left_bytes = PAGE_BYTES - sum(result.response_size for result in near.results)
@@ -212,15 +216,17 @@
             return ResultsPage(found.total, near.results + found.results)
         anywhere = near if near.results else self._read_replicas(query)
         if anywhere is None:
-            leader = outcome.failure().detail if isinstance(outcome, Failure) else "wrong reply"
+            leader = (
+                outcome.failure().detail if isinstance(outcome, Failure) else "unexpected reply"
+            )
             nearby = "no_job" if near.total is None else "behind"
-            self._put_off.tell(job_id, after, leader, nearby)
+            self._deferred_reads.tell(job_id, after, leader, nearby)
         return anywhere
 
     def _read_replicas(self, query: ReadResults) -> ResultsPage | None:
-        """The longest answer of any replica; None where none has the position.
+        """Return the longest page of any replica; None if none has the position.
 
-        With one replica left, which can't be elected, what it has can still be read.
+        So results stay readable from a single replica that can't be elected.
         """
         replies = self._ledger.ask_replicas(JOBS_KEY, query, REPLICAS_TIMEOUT_S)
         pages = [
@@ -241,17 +247,17 @@
         query = ReadItem(job_id, request.query("id") or "", tenant)
         found = self._ledger.ask(JOBS_KEY, query, LEADER_TIMEOUT_S).value_or(None)
         if not isinstance(found, ItemBody):
-            found = self._body_of_replicas(query)
+            found = self._read_body_from_replicas(query)
         if found is None:
             return own_response(503, "no_ledger", RETRY_AFTER_S)
         if found.body is None:
             return own_response(404, "no_such_item")
         return Response(200, [("Content-Type", "application/octet-stream")], found.body)
 
-    def _body_of_replicas(self, query: ReadItem) -> ItemBody | None:
-        """A body that any replica has; None where none has it.
+    def _read_body_from_replicas(self, query: ReadItem) -> ItemBody | None:
+        """Return a body that any replica has; None if none has it.
 
-        An item's body never changes. That there is none is believed of the leader only.
+        Bodies never change, but only the leader can tell that an item does not exist.
         """
         for reply in self._ledger.ask_replicas(JOBS_KEY, query, REPLICAS_TIMEOUT_S):
             if isinstance(reply, ItemBody) and reply.body is not None:
@@ -271,12 +277,12 @@
 
 
 def _is_at_end(page: ResultsPage, after: int) -> bool:
-    """Whether nothing can ever follow a page that was read from a position on."""
+    """Whether a page read from position `after` on holds the last result of the job."""
     return page.total is not None and after + len(page.results) >= page.total
 
 
 def assign_tenant(job: Job, tenant: str, names: HeaderNames) -> Job:
-    """Return a job as its tenant's: its items' headers hold neither a key nor another name."""
+    """Return a job owned by `tenant`, without credentials and tenant names in item headers."""
     dropped = names.of_client_only
     items = tuple(
         msgspec.structs.replace(
@@ -288,7 +294,7 @@
 
 
 def split_items(items: tuple[JobItem, ...]) -> list[tuple[JobItem, ...]]:
-    """Items in parts that fit into one command each."""
+    """Split items into parts that fit into one command each."""
     parts: list[list[JobItem]] = [[]]
     size = 0
     for item in items:
--- a/src/bellweir/hosted/batches/attempts.py
+++ b/src/bellweir/hosted/batches/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt of an item: its text from a worker, or its score."""
+"""Attempts of items: generation of a text by a worker, and scoring of a complete text."""
 
 import http.client
 import time
@@ -39,15 +39,15 @@
 
 FIRST_EVENT_TIMEOUT_S = 3.0
 STREAM_IDLE_TIMEOUT_S = 2.0
-"""Time without an event after which a run goes on at another worker; a load takes about one."""
+"""Time without an event after which another worker continues; longer than a load of weights."""
 RUN_DEADLINE_MS = 60_000.0
-"""Time that a worker may spend on a run; its silence ends it much sooner."""
+"""Time that a worker may spend on a generation."""
 SCORE_TIMEOUT_S = 1.0
 SCORE_DEADLINE_MS = 5_000.0
 REFUSED_BACKOFF_S = 0.05
 FAILED_BACKOFF_S = 0.02
 CANCELLED = "ended here"
-"""Cause of a run's end when its job was ended or another node leads."""
+"""Logged cause of an attempt that was cancelled because its job ended or leadership was lost."""
 UNPROCESSABLE = 422
 SERVER_ERROR = 500
 
@@ -62,7 +62,7 @@
 
 
 class ItemRunner:
-    """Runs attempts; each call blocks until its attempt has ended."""
+    """Runs attempts; each call blocks until its attempt has ended, and sets its outcome."""
 
     def __init__(self, connections: WorkerConnections, loads: WorkerLoads) -> None:
         self._connections = connections
@@ -70,34 +70,34 @@
         self.refusal_backoff = RefusalGuard()
         self.quarantine = FailingWorkers()
         self.service_workers_of: Callable[[Worker], Collection[Incarnation]] = _no_service_workers
-        """Returns the workers of a worker's service, itself among them; none: all count."""
+        """Returns the workers of a worker's service, including itself; empty: not restricted."""
         self.event_times = WorkerPaces()
         self.length_predictor = TextLengths()
         self.save_checkpoint: Callable[[ItemProgress, TextCheckpoint], None] = (
-            lambda _progress, _part: None
+            lambda _progress, _checkpoint: None
         )
-        """Called with parts of long texts in the making."""
+        """Called with checkpoints of unfinished texts."""
         self.checkpoint_interval_s = 0.0
-        """Time between two parts of a text; 0: none is kept."""
+        """Time between two checkpoints of a text; 0 disables them."""
 
     def predicted_events(self, progress: ItemProgress) -> float:
-        """Events that an item's text is expected to have."""
+        """Return the predicted number of events of an item's text."""
         return self.length_predictor.expected(progress.item.id, progress.guessed_tokens)
 
     def predicted_events_or_none(self, progress: ItemProgress) -> float | None:
-        """The same, as far as it is more than a rank among texts; None before any has ended."""
+        """Return the prediction; None before the first text has ended, as it is uncalibrated."""
         return self.predicted_events(progress) if self.length_predictor.is_known else None
 
     def guessed_tokens(self, item: JobItem) -> float | None:
-        """Tokens that an item's caller guesses its text to have; None without a guess."""
-        wanted = self._connections.headers.length_hint.lower()
-        guesses = (_parse_float(value) for name, value in item.headers if name.lower() == wanted)
-        return next(guesses, None)
+        """Return the length hint in an item's headers, in tokens; None without one."""
+        hint_header = self._connections.headers.length_hint.lower()
+        hints = (_parse_float(value) for name, value in item.headers if name.lower() == hint_header)
+        return next(hints, None)
 
     def run_generation(
         self, progress: ItemProgress, worker: Worker, cancellation: Cancellation
     ) -> None:
-        """Get the item's events, from the first one that is missing on."""
+        """Generate the text from the first missing event on."""
         progress.attempts += 1
         emit(
             ITEM_STARTED,
@@ -124,7 +124,7 @@
     def _open_text(
         self, progress: ItemProgress, worker: Worker, cancellation: Cancellation
     ) -> OpenedAttempt:
-        """Send the item's request; what the answer's head tells of the worker is noted."""
+        """Send the generation request, and record whether the worker accepted it."""
         model = progress.job.model
         state = AttemptState.UNKNOWN
         try:
@@ -148,7 +148,7 @@
     def _end_cancelled(
         self, progress: ItemProgress, worker: Worker, opened: OpenAnswer | None
     ) -> None:
-        """End a run that this node itself wants no more: no fault of the worker's."""
+        """End a cancelled attempt; it doesn't count as a failure of the worker."""
         if opened is not None:
             opened.drop()
         self._loads.released(worker.incarnation)
@@ -180,13 +180,13 @@
                     is_first = False
                 opened.set_timeout(STREAM_IDLE_TIMEOUT_S)
             if not splitter.is_between_events:
-                raise http.client.HTTPException("the stream ended inside an event")
-        except STREAM_ERRORS as failure:
+                raise http.client.HTTPException("stream ended in the middle of an event")
+        except STREAM_ERRORS as exc:
             if cancellation.cancelled.is_set():
                 self._end_cancelled(progress, worker, opened)
                 return
             opened.drop()
-            self._end_failed_stream(progress, worker, failure)
+            self._end_failed_stream(progress, worker, exc)
             return
         opened.finish()
         self._loads.answered(worker.incarnation, time.monotonic() - began_s)
@@ -196,7 +196,7 @@
     def _record_events(
         self, progress: ItemProgress, worker: Worker, count: int, *, is_first: bool
     ) -> None:
-        """Note that events came; the first ones of a run tell nothing of its worker's pace."""
+        """Record received events; the first ones of an attempt don't count as event times."""
         now_s = time.monotonic()
         if not is_first:
             self.event_times.note_gap(worker.incarnation, (now_s - progress.last_event_s) / count)
@@ -206,20 +206,18 @@
             and now_s - progress.checkpointed_s >= self.checkpoint_interval_s
         ):
             progress.checkpointed_s = now_s
-            part = progress.take_checkpoint()
-            if part is not None:
-                self.save_checkpoint(progress, part)
+            checkpoint = progress.take_checkpoint()
+            if checkpoint is not None:
+                self.save_checkpoint(progress, checkpoint)
 
-    def _end_failed_stream(
-        self, progress: ItemProgress, worker: Worker, failure: Exception
-    ) -> None:
-        if isinstance(failure, VersionMixedError | EventsMissingError):
+    def _end_failed_stream(self, progress: ItemProgress, worker: Worker, exc: Exception) -> None:
+        if isinstance(exc, VersionMixedError | EventsMissingError):
             progress.restart()
-        if isinstance(failure, VersionTooOldError | VersionMixedError):
+        if isinstance(exc, VersionTooOldError | VersionMixedError):
             self._loads.refused(worker.incarnation)
         else:
             self._loads.failed(worker.incarnation)
-        self._log_attempt_failed(progress, worker, repr(failure))
+        self._log_attempt_failed(progress, worker, repr(exc))
 
     def _handle_no_answer(
         self, progress: ItemProgress, worker: Worker, opened: OpenedAttempt
@@ -247,7 +245,7 @@
             progress.give_up()
         elif status == SERVER_ERROR:
             progress.generation_failures.append(worker.incarnation)
-            self._give_up_if_due(progress, progress.route.max_attempts, worker)
+            self._fail_if_exhausted(progress, progress.route.max_attempts, worker)
         self._log_attempt_failed(progress, worker, f"status {status}")
 
     def run_scoring(
@@ -257,7 +255,7 @@
         maximum_failures: int,
         cancellation: Cancellation,
     ) -> None:
-        """Have the whole text scored."""
+        """Score the complete text."""
         scorer = progress.item.scorer
         if scorer is None:
             self._loads.released(worker.incarnation)
@@ -278,7 +276,7 @@
                 self._record_success(worker, began_s)
                 progress.finish(_header(answer.headers, self._connections.headers.stamp))
                 return
-            # How soon a worker fails tells nothing of how soon it serves.
+            # The duration of a failure must not count as latency of the worker.
             self._loads.released(worker.incarnation)
             self._handle_scoring_error(progress, answer.status, maximum_failures, worker)
         elif outcome.state is AttemptState.REFUSED:
@@ -296,14 +294,14 @@
         self._record_failure(progress, worker, status)
         if status == SERVER_ERROR:
             progress.scoring_failures.append(worker.incarnation)
-            self._give_up_if_due(progress, maximum_failures, worker)
+            self._fail_if_exhausted(progress, maximum_failures, worker)
 
     def _record_success(self, worker: Worker, began_s: float) -> None:
         if self.quarantine.served(worker.incarnation, began_s):
             emit(WORKER_SERVES_AGAIN, instance=worker.instance)
 
     def _record_failure(self, progress: ItemProgress, worker: Worker, status: int) -> None:
-        """Note what a worker's answer without a result tells of the worker."""
+        """Record an error status; client errors (below 500) say nothing about the worker."""
         if status < SERVER_ERROR:
             return
         failures = self.quarantine.failed(worker.incarnation, progress.item.id)
@@ -319,7 +317,7 @@
                 cause=f"status {status}",
             )
 
-    def _give_up_if_due(self, progress: ItemProgress, allowed: int, worker: Worker) -> None:
+    def _fail_if_exhausted(self, progress: ItemProgress, allowed: int, worker: Worker) -> None:
         service_workers = self.service_workers_of(worker)
         if self.quarantine.is_given_up(progress.stage_failures, allowed, service_workers):
             progress.give_up()
--- a/src/bellweir/hosted/batches/committer.py
+++ b/src/bellweir/hosted/batches/committer.py
@@ -1,4 +1,4 @@
-"""Commits results to the ledger, many in one command."""
+"""Commits results and checkpoints to the ledger in batches."""
 
 import queue
 import threading
@@ -21,18 +21,18 @@
 from bellweir.ledger.interface import Ledger, Reply
 
 GATHER_DELAY_S = 0.005
-"""Time for which results are gathered into one command."""
+"""Time for which results are gathered into one batch."""
 MAX_COMMAND_BYTES = 600_000
-"""Text in one command; a command has at most a mebibyte."""
+"""Size of the results in one command, which may have at most 1 MiB."""
 MAX_COMMAND_CHECKPOINTS = 24
-"""Parts of texts in one command; each is what some seconds make."""
+"""Checkpoints in one command; each holds a few seconds of generation."""
 SUBMIT_TIMEOUT_S = 2.0
 QUEUE_POLL_S = 0.2
-CAUSE_UNKNOWN = "not told: the leader's release only counts"
+CAUSE_UNKNOWN = "unknown: the leader runs a release that reports only counts"
 
 
 class Committer:
-    """One task. A result whose commit is unknown is committed again: the first one counts."""
+    """A single task. Commits with an unknown outcome are retried: the first result counts."""
 
     def __init__(self, ledger: Ledger, leads: Callable[[], bool]) -> None:
         self._ledger = ledger
@@ -41,13 +41,13 @@
         self._pause = threading.Event()
 
     def put_result(self, progress: ItemProgress) -> None:
-        """Commit an item's result soon."""
+        """Queue the result of an item."""
         progress.is_committing = True
         self._queue.put(progress)
 
-    def put_checkpoint(self, progress: ItemProgress, part: TextCheckpoint) -> None:
-        """Keep a part of a text in the making soon; lost if this node leads no more."""
-        self._queue.put(KeepParts(progress.job.id, (part,)))
+    def put_checkpoint(self, progress: ItemProgress, checkpoint: TextCheckpoint) -> None:
+        """Queue a checkpoint of an unfinished text; it is dropped if this node no longer leads."""
+        self._queue.put(KeepParts(progress.job.id, (checkpoint,)))
 
     def run(self, stopping: threading.Event) -> None:
         """Commit until `stopping`."""
@@ -65,32 +65,32 @@
     def _commit_batch(
         self, batch: list[ItemProgress | KeepParts], stopping: threading.Event
     ) -> None:
-        by_job: dict[str, list[ItemProgress]] = {}
-        parts: dict[str, list[TextCheckpoint]] = {}
+        results: dict[str, list[ItemProgress]] = {}
+        checkpoints: dict[str, list[TextCheckpoint]] = {}
         for each in batch:
             if isinstance(each, KeepParts):
-                parts.setdefault(each.job_id, []).extend(each.parts)
+                checkpoints.setdefault(each.job_id, []).extend(each.parts)
             else:
-                by_job.setdefault(each.job.id, []).append(each)
-        for job_id, found in by_job.items():
-            for part in _split_by_size(found):
-                self._commit(job_id, part, stopping)
-        for job_id, kept in parts.items():
-            for start in range(0, len(kept), MAX_COMMAND_CHECKPOINTS):
-                command = KeepParts(job_id, tuple(kept[start : start + MAX_COMMAND_CHECKPOINTS]))
-                # Not tried again: a later part that doesn't join is dropped, the text goes on.
+                results.setdefault(each.job.id, []).append(each)
+        for job_id, found in results.items():
+            for chunk in _split_by_size(found):
+                self._commit(job_id, chunk, stopping)
+        for job_id, queued in checkpoints.items():
+            for start in range(0, len(queued), MAX_COMMAND_CHECKPOINTS):
+                command = KeepParts(job_id, tuple(queued[start : start + MAX_COMMAND_CHECKPOINTS]))
+                # Not retried: a later checkpoint that leaves a gap is dropped, the attempt goes on.
                 if self._leads():
                     self._ledger.submit(JOBS_KEY, command, SUBMIT_TIMEOUT_S)
 
-    def _commit(self, job_id: str, part: list[ItemProgress], stopping: threading.Event) -> None:
-        # Of an item that was put in twice, around a change of leader, the newest progress counts:
-        # one command that lists it and drops it again could not say what became of it.
-        newest = {each.item.id: each for each in part if each.result is not None}
-        part = list(newest.values())
-        results = tuple(each.result for each in part if each.result is not None)
-        # A try without an outcome may have listed what the next one finds listed.
+    def _commit(self, job_id: str, items: list[ItemProgress], stopping: threading.Event) -> None:
+        # An item may be queued twice around a change of leader. Only its newest progress is sent:
+        # if one command recorded and dropped it, its outcome would be ambiguous.
+        newest = {each.item.id: each for each in items if each.result is not None}
+        items = list(newest.values())
+        results = tuple(each.result for each in items if each.result is not None)
+        # A try with an unknown outcome may have recorded what the next one finds recorded.
         is_unsure = False
-        listed: set[str] = set()
+        recorded: set[str] = set()
         while self._leads() and not stopping.is_set():
             outcome = self._ledger.submit(
                 JOBS_KEY, RecordResults(job_id, results), SUBMIT_TIMEOUT_S
@@ -99,43 +99,44 @@
                 is_unsure = True
                 continue
             dropped = _drop_causes(results, outcome.unwrap())
-            listed.update(each.item_id for each in results if each.item_id not in dropped)
+            recorded.update(each.item_id for each in results if each.item_id not in dropped)
             if dropped and any(result.checkpointed_events for result in results):
-                # Its parts may not have reached the log; what is listed already stays.
-                results = tuple(_with_full_text(each) for each in part)
+                # Checkpoints may not have reached the log; results recorded already stay.
+                results = tuple(_with_full_text(each) for each in items)
                 continue
-            for progress, result in zip(part, results, strict=True):
-                cause = None if result.item_id in listed else dropped[result.item_id]
+            for progress, result in zip(items, results, strict=True):
+                cause = None if result.item_id in recorded else dropped[result.item_id]
                 _log_outcome(job_id, progress, result, cause, is_unsure=is_unsure)
             return
-        for progress in part:
-            # The coordinator hands it in again if this node leads once more.
+        for progress in items:
+            # The coordinator queues it again if this node leads once more.
             progress.is_committing = False
 
 
 def _with_full_text(progress: ItemProgress) -> ItemResult:
-    """An item's result as it needs nothing else of the log."""
+    """Return an item's result without reference to checkpoints."""
     result = progress.result
     return progress.full_result() if result is None or result.checkpointed_events else result
 
 
 def _split_by_size(found: list[ItemProgress]) -> list[list[ItemProgress]]:
-    parts: list[list[ItemProgress]] = [[]]
+    chunks: list[list[ItemProgress]] = [[]]
     size = 0
     for progress in found:
         length = progress.result.size if progress.result else 0
-        if parts[-1] and size + length > MAX_COMMAND_BYTES:
-            parts.append([])
+        if chunks[-1] and size + length > MAX_COMMAND_BYTES:
+            chunks.append([])
             size = 0
-        parts[-1].append(progress)
+        chunks[-1].append(progress)
         size += length
-    return parts
+    return chunks
 
 
 def _drop_causes(results: tuple[ItemResult, ...], reply: Reply) -> dict[str, str]:
-    """Why results were dropped, by item.
+    """Return why results were dropped, by item.
 
-    A replica of an earlier release only counts them: with fewer than were sent, each may be one.
+    A replica of an earlier release reports only their number: if it is less than what was sent,
+    each result may be dropped.
     """
     if not isinstance(reply, ResultsRecorded):
         return dict.fromkeys((each.item_id for each in results), CAUSE_UNKNOWN)
@@ -152,11 +153,11 @@
     *,
     is_unsure: bool,
 ) -> None:
-    """Log what became of a result: listed without a `cause`, else dropped for it."""
+    """Log a result as recorded if `cause` is None, else as dropped for that cause."""
     state = "completed" if result.is_complete else "dead"
     known = {"request_id": result.item_id, "job": job_id, "state": state}
-    is_listed = cause is None or (is_unsure and cause == ALREADY_RECORDED)
-    if not is_listed:
+    is_recorded = cause is None or (is_unsure and cause == ALREADY_RECORDED)
+    if not is_recorded:
         emit(ITEM_NOT_LISTED, **known, events=progress.events, cause=cause)
         return
     emit(
--- a/src/bellweir/hosted/batches/coordinator.py
+++ b/src/bellweir/hosted/batches/coordinator.py
@@ -1,8 +1,7 @@
 """Runs the open batch jobs on the node that leads their shard.
 
-The state machine of the shard says what is accepted, listed and ended; everything here is
-rebuilt from it by the next leader. An item may run more than once; its first committed result
-counts.
+The replicated state machine holds jobs, results and ends; the state kept here is rebuilt from it
+by the next leader. An item may run more than once; its first committed result counts.
 """
 
 import threading
@@ -29,15 +28,14 @@
 from bellweir.ledger.interface import Ledger
 
 POLL_INTERVAL_S = 0.025
-"""Time between two looks at what is to be run."""
 DEFAULT_POLICY = BatchSettings()
 
 ItemKey = tuple[str, str]
-"""Ids of job and item."""
+"""Job id and item id."""
 
 
 class Coordinator:
-    """One task that looks at the jobs, and one call on an executor for each attempt."""
+    """One scheduling task, and one executor call for each attempt."""
 
     def __init__(
         self,
@@ -69,31 +67,31 @@
         self._wake = threading.Event()
 
     def run(self, stopping: threading.Event) -> None:
-        """Coordinate whenever this node leads, until `stopping`."""
+        """Schedule items whenever this node leads, until `stopping`."""
         while not stopping.is_set():
             self._wake.wait(POLL_INTERVAL_S)
             self._wake.clear()
             machine = self._ledger.local_machine(JOBS_KEY, BatchJobs)
             leads = self._ledger.leads(JOBS_KEY)
             if leads and isinstance(machine, BatchJobs):
-                self._coordinate(list(machine.jobs.values()))
+                self._run_pass(list(machine.jobs.values()))
             elif self._leading:
-                self._leave()
-        self._leave()
+                self._step_down()
+        self._step_down()
 
     def running_count(self) -> int:
-        """Attempts in hand."""
+        """Return the number of running attempts."""
         return len(self._running)
 
     def _is_leading(self) -> bool:
         return self._ledger.leads(JOBS_KEY)
 
-    def _coordinate(self, jobs: list[JobState]) -> None:
+    def _run_pass(self, jobs: list[JobState]) -> None:
         if not self._leading:
             self._leading = True
             emit(COORDINATION_TAKEN, jobs=sum(state.is_open for state in jobs))
         table = self._configuration.table()
-        self._drop_ended(jobs)
+        self._remove_finished(jobs)
         if table is not None:
             with self._lock:
                 running = list(self._running.values())
@@ -103,9 +101,9 @@
             self._start_waiting(jobs, table)
 
     def _start_waiting(self, jobs: list[JobState], table: RouteTable) -> None:
-        """Start items until there is no place left for those of a job.
+        """Start waiting items; once one finds no free slot, skip others of its job and stage.
 
-        One that lacks a worker for a reason of its own says nothing of the job's other items.
+        An item with constraints of its own may lack a worker where others of the job don't.
         """
         full: set[tuple[str, Stage]] = set()
         for progress in self._waiting(jobs, table):
@@ -115,7 +113,7 @@
                     full.add(kind)
                 self._choice.let_versions_go(progress)
 
-    def _leave(self) -> None:
+    def _step_down(self) -> None:
         with self._lock:
             running = list(self._running.values())
             self._progress.clear()
@@ -126,8 +124,8 @@
             self._leading = False
             emit(COORDINATION_LEFT, running=len(running))
 
-    def _drop_ended(self, jobs: list[JobState]) -> None:
-        """Cancel what runs for jobs that are ended, and forget items that are listed."""
+    def _remove_finished(self, jobs: list[JobState]) -> None:
+        """Cancel attempts of ended jobs, and drop items with a recorded result."""
         open_items = {
             (state.job.id, item_id)
             for state in jobs
@@ -136,10 +134,10 @@
             if item_id not in state.recorded_ids
         }
         with self._lock:
-            gone = [key for key in self._progress if key not in open_items]
-            for key in gone:
+            finished = [key for key in self._progress if key not in open_items]
+            for key in finished:
                 progress = self._progress.pop(key)
-                # One that still runs is kept once its attempt has ended.
+                # A running item is added by its attempt, when this has ended.
                 if key not in self._running:
                     self._text_cache.add(progress)
             cancelled = [run for key, run in self._running.items() if key not in open_items]
@@ -147,10 +145,10 @@
             run.cancellation.cancel()
 
     def _waiting(self, jobs: list[JobState], table: RouteTable) -> list[ItemProgress]:
-        """Items that need an attempt now.
+        """Return the items that need an attempt now, in order of priority.
 
         The oldest job goes first, and in it the longest texts; where steps of several trainers
-        compete, their groups go as the queue has them.
+        compete, the scheduler orders their groups.
         """
         steps = []
         waiting: list[ItemProgress] = []
@@ -158,7 +156,7 @@
             route = table.find(state.job.host, state.job.path_prefix) if state.is_open else None
             if route is not None:
                 steps.append(OpenStep(state, route))
-                found = list(self._waiting_of(state, route, jobs))
+                found = list(self._waiting_in(state, route, jobs))
                 waiting += sorted(found, key=self._urgency) if self._policy.long_first else found
         if self._policy.order_by_need:
             with self._lock:
@@ -168,19 +166,19 @@
         return waiting
 
     def _rank(self, progress: ItemProgress) -> int:
-        """Place of an item beside those of other jobs; what was begun goes on first."""
+        """Sort key among the items of all jobs: items already started go first."""
         is_begun = progress.stage is not Stage.GENERATION or progress.moved_to is not None
         return -1 if is_begun else self._queue.rank(progress)
 
     def _urgency(self, progress: ItemProgress) -> tuple[bool, bool, float]:
-        """Order of work in a job: whole texts to be scored, moved texts, then long ones."""
+        """Sort key in a job: scoring first, then moved generations, then the longest remainder."""
         expected = self._attempts.predicted_events(progress) - progress.events
         return progress.stage is Stage.GENERATION, not progress.moved_to, -expected
 
-    def _waiting_of(
+    def _waiting_in(
         self, state: JobState, route: Route, jobs: list[JobState]
     ) -> Iterator[ItemProgress]:
-        """Items of one job that need an attempt now; whole results go to the committer."""
+        """Yield the items of a job that need an attempt now; queue results to be committed."""
         now_s = time.monotonic()
         for item in state.job.items:
             key = (state.job.id, item.id)
@@ -197,7 +195,7 @@
     def _progress_of(
         self, key: ItemKey, state: JobState, route: Route, item: JobItem, jobs: list[JobState]
     ) -> ItemProgress:
-        """The item's progress; a new item begins with what an earlier job made of it."""
+        """Return an item's progress; a new one resumes from checkpoints or a cached text."""
         with self._lock:
             known = self._progress.get(key)
         if known is not None:
@@ -214,7 +212,7 @@
         return progress
 
     def _start(self, progress: ItemProgress, table: RouteTable) -> bool:
-        """Start an item's next attempt, if it need not wait; False when no worker has room."""
+        """Start an item's next attempt unless it has to wait; False if no slot is free."""
         worker = self._choice.take_worker(progress, table)
         progress.moved_to = None
         if worker is None:
@@ -250,7 +248,7 @@
             else:
                 self._attempts.run_scoring(progress, worker, maximum_failures, run.cancellation)
         except Exception:
-            # Reported by the executor; the worker's place must not stay taken for good.
+            # The executor reports it; the slot of the worker must not leak.
             self._loads.released(worker.incarnation)
             raise
         finally:
--- a/src/bellweir/hosted/batches/formats.py
+++ b/src/bellweir/hosted/batches/formats.py
@@ -1,4 +1,4 @@
-"""JSON of batch jobs as trainers send and read them."""
+"""JSON documents of the batch job API."""
 
 import base64
 import binascii
@@ -14,7 +14,7 @@
 
 
 class ScorerDocument(msgspec.Struct, rename="camel"):
-    """A scoring request as sent."""
+    """A scoring request of a submitted item."""
 
     id: str
     host: str
@@ -23,7 +23,7 @@
 
 
 class ItemDocument(msgspec.Struct, rename="camel"):
-    """An item as sent."""
+    """An item of a submitted job."""
 
     id: str
     path: str
@@ -35,7 +35,7 @@
 
 
 class JobDocument(msgspec.Struct, rename="camel"):
-    """A batch job as sent."""
+    """A submitted batch job."""
 
     items: list[ItemDocument]
     model: str = ""
@@ -45,7 +45,7 @@
 
 
 class ResultDocument(msgspec.Struct, rename="camel", omit_defaults=True):
-    """A result as listed."""
+    """A result in a page."""
 
     id: str
     state: str
@@ -55,7 +55,7 @@
 
 
 class PageDocument(msgspec.Struct, rename="camel"):
-    """Answer to a reading of results."""
+    """A page of results."""
 
     total: int
     next: int
@@ -63,12 +63,12 @@
 
 
 def decode_job(content: bytes, job_id: str, host: str, path_prefix: str) -> Job:
-    """Read a job. Raises `BadRequestError`."""
+    """Decode a submitted job. Raises `BadRequestError`."""
     try:
-        sent = msgspec.json.decode(content, type=JobDocument)
-        items = tuple(_item(item) for item in sent.items)
-    except (msgspec.MsgspecError, UnicodeDecodeError, binascii.Error) as failure:
-        raise BadRequestError(f"no batch job: {failure}") from failure
+        document = msgspec.json.decode(content, type=JobDocument)
+        items = tuple(_item(item) for item in document.items)
+    except (msgspec.MsgspecError, UnicodeDecodeError, binascii.Error) as exc:
+        raise BadRequestError(f"no batch job: {exc}") from exc
     if len({item.id for item in items}) != len(items):
         raise BadRequestError("two items have one id")
     return Job(
@@ -77,22 +77,22 @@
         path_prefix=path_prefix,
         items=items,
         accepted_at_s=time.time(),
-        model=sent.model,
-        step=sent.step,
-        wanted_groups=sent.wanted_groups,
-        minimum_version=sent.min_version,
+        model=document.model,
+        step=document.step,
+        wanted_groups=document.wanted_groups,
+        minimum_version=document.min_version,
     )
 
 
-def _item(sent: ItemDocument) -> JobItem:
-    scorer = sent.scorer
+def _item(document: ItemDocument) -> JobItem:
+    scorer = document.scorer
     return JobItem(
-        id=sent.id,
-        path=sent.path,
-        headers=tuple(sent.headers.items()),
-        body=base64.b64decode(sent.body, validate=True),
-        tokens=int(sent.tokens),
-        group=sent.group,
+        id=document.id,
+        path=document.path,
+        headers=tuple(document.headers.items()),
+        body=base64.b64decode(document.body, validate=True),
+        tokens=int(document.tokens),
+        group=document.group,
         scorer=None
         if scorer is None
         else Scorer(
@@ -102,8 +102,8 @@
 
 
 def encode_page(total: int, after: int, results: tuple[ItemResult, ...]) -> bytes:
-    """The answer to a reading from position `after`."""
-    listed = [
+    """Encode a page of results from position `after` on."""
+    documents = [
         ResultDocument(
             id=result.item_id,
             state=COMPLETED if result.is_complete else DEAD,
@@ -113,4 +113,4 @@
         )
         for result in results
     ]
-    return msgspec.json.encode(PageDocument(total, after + len(listed), listed))
+    return msgspec.json.encode(PageDocument(total, after + len(documents), documents))
--- a/src/bellweir/hosted/batches/pages.py
+++ b/src/bellweir/hosted/batches/pages.py
@@ -1,4 +1,4 @@
-"""Pages of results as clients read them: of valid text, and no longer than clients allow."""
+"""Encodes pages of results as valid JSON of bounded size."""
 
 import msgspec
 
@@ -6,15 +6,15 @@
 from bellweir.hosted.batches.state import ItemResult
 
 MAX_PAGE_BYTES = 1_000_000
-"""Longest answer to a reading, unless its first result alone is longer."""
+"""Maximum size of a response, unless its first result alone is larger."""
 
 
 def encode_bounded_page(total: int, after: int, results: tuple[ItemResult, ...]) -> bytes:
-    """Return the answer to a reading from position `after`.
+    """Return the response to a read from position `after`.
 
-    It holds the first of `results`, at least one, that fit into `MAX_PAGE_BYTES`; a reader
-    goes on behind them. How long a text is as JSON depends on its characters: a line feed takes
-    two bytes and an ideograph three, so that counting characters does not bound the answer.
+    It holds as many of the first `results` as fit into `MAX_PAGE_BYTES`, but at least one; the
+    client reads the rest with its next call. Characters don't bound the size, since in JSON a line
+    feed takes two bytes and an ideograph three.
 
     >>> two = (
     ...     ItemResult.from_text("a", True, "x", (1,)),
@@ -23,19 +23,19 @@
     >>> msgspec.json.decode(encode_bounded_page(2, 0, two))["next"]
     2
     """
-    shown = tuple(_valid(result) for result in results)
-    content = encode_page(total, after, shown)
-    while len(content) > MAX_PAGE_BYTES and len(shown) > 1:
-        fitting = len(shown) * MAX_PAGE_BYTES // len(content)
-        shown = shown[: min(len(shown) - 1, max(1, fitting))]
-        content = encode_page(total, after, shown)
+    page = tuple(_with_valid_text(result) for result in results)
+    content = encode_page(total, after, page)
+    while len(content) > MAX_PAGE_BYTES and len(page) > 1:
+        fitting = len(page) * MAX_PAGE_BYTES // len(content)
+        page = page[: min(len(page) - 1, max(1, fitting))]
+        content = encode_page(total, after, page)
     return content
 
 
-def _valid(result: ItemResult) -> ItemResult:
-    """Return a result with its text unpacked, each byte that is no valid UTF-8 as U+FFFD.
+def _with_valid_text(result: ItemResult) -> ItemResult:
+    """Return a result with its text decompressed, and bytes that are invalid UTF-8 as U+FFFD.
 
-    JSON can't hold such a byte: encoding it fails, and with it every reading of the page.
+    Encoding such bytes to JSON would fail, and with it every read of the page.
     """
     text = result.full_text
     if not text.isascii():
--- a/src/bellweir/hosted/batches/service.py
+++ b/src/bellweir/hosted/batches/service.py
@@ -1,4 +1,4 @@
-"""Service `batches`: coordinates batch jobs on store machines."""
+"""Service `batches`: runs batch jobs on the nodes that store them."""
 
 import threading
 
@@ -25,7 +25,7 @@
 
 
 class BatchService(Service, LoadListener):
-    """Runs the coordinator and its committer."""
+    """Runs the coordinator, its committer and the retention of ended jobs."""
 
     name = names.BATCHES
     dependencies = (names.VIEWS, names.LEDGER, names.TELEMETRY, names.TRANSPORT)
@@ -37,7 +37,7 @@
         self._loads = WorkerLoads(settings.node.zone, self._connections.has_idle)
 
     def start(self) -> None:
-        """Start the tasks; they act only while this node leads."""
+        """Start the tasks; scheduling and commits happen only while this node leads."""
         registry = self._kernel.registry
         self._views = registry.find(names.VIEWS, ViewsService)
         self._views.workers.subscribe_addresses(self._connections.renew)
@@ -103,7 +103,7 @@
         )
 
     def load_told(self, worker: Incarnation, model: str, for_s: float) -> None:
-        """Leave a worker alone while it loads a model's weights."""
+        """Send a worker no generations of a model while it loads the weights."""
         self._attempts.refusal_backoff.load_told(worker, model, for_s)
 
     def stop(self) -> None:
--- a/src/bellweir/hosted/batches/state.py
+++ b/src/bellweir/hosted/batches/state.py
@@ -1,7 +1,7 @@
-"""Batch jobs as the replicated log keeps them: items, results at fixed positions, ends.
+"""Replicated state machine of batch jobs.
 
-A job is accepted once, by its id. Its results get their positions in the order in which they are
-applied; an item's first result counts and nothing replaces it.
+A job is accepted once per id. Results are appended in the order in which they are applied; the
+first result of an item is final, so a position never changes.
 """
 
 from collections.abc import Sequence
@@ -15,24 +15,23 @@
 from bellweir.ledger.interface import Command, Query, Reply, StateMachine
 
 JOBS_KEY = "batch-jobs"
-"""Ledger key of all jobs: they share a shard, so that one leader runs them in one order."""
-
+"""Ledger key of all jobs: one shard, so that one leader runs them in one order."""
 
 RESULT_OVERHEAD_BYTES = 256
-"""Bytes of a listed result besides its text."""
+"""Estimated bytes of a result besides its text."""
 NO_SUCH_JOB = "no such job"
 JOB_IS_ENDED = "job ended"
 NO_SUCH_ITEM = "no such item"
 ALREADY_RECORDED = "listed before"
 CHECKPOINTS_MISSING = "parts missing"
 MAX_STAGED_JOBS = 16
-"""Jobs whose parts wait at once; a client that gave up leaves its parts behind."""
+"""Jobs with staged parts; beyond it the oldest is evicted, since clients may give up."""
 
 
 def take_page(
     results: "Sequence[ItemResult]", after: int, page_bytes: int
 ) -> "tuple[ItemResult, ...]":
-    """Results from a position on, at least one if there is one, up to `page_bytes`."""
+    """Return results from position `after` on, up to `page_bytes`, but at least one if any."""
     page: list[ItemResult] = []
     size = 0
     for result in results[after:]:
@@ -60,31 +59,31 @@
     headers: tuple[tuple[str, str], ...]
     body: bytes
     tokens: int = 0
-    """Of the prompt and at most made, summed."""
+    """Prompt tokens plus the maximum of generated tokens."""
     group: str = ""
     scorer: Scorer | None = None
 
 
 class Job(msgspec.Struct, frozen=True):
-    """A batch job as it was handed in."""
+    """A batch job as submitted."""
 
     id: str
     host: str
     path_prefix: str
-    """Prefix of its route."""
+    """Path prefix of the job's route."""
     items: tuple[JobItem, ...]
     accepted_at_s: float
-    """Wall clock of the accepting node; seconds since 1970. Nothing that lasts rests on it."""
+    """Unix time on the accepting node; informative only, since clocks differ."""
     model: str = ""
     step: int | None = None
     wanted_groups: int = 0
-    """Whole groups that the trainer waits for; 0: all."""
+    """Complete groups that the trainer waits for; 0: all."""
     minimum_version: int = 0
     tenant: str = ""
-    """Whose key handed it in; empty where none was needed: then anyone may read and end it."""
+    """Owner; empty for a job submitted without a key, which anyone may read and end."""
 
     def is_visible_to(self, tenant: str) -> bool:
-        """Whether a tenant may know of it; to all others it isn't there."""
+        """Whether a tenant may see the job; for all others it does not exist."""
         return not self.tenant or self.tenant == tenant
 
 
@@ -93,77 +92,77 @@
 
     item_id: str
     is_complete: bool
-    """Whether the text is whole; otherwise the item was given up."""
+    """Whether the text is complete; otherwise the item failed."""
     text: str = ""
-    """The text as results of earlier releases have it; `full_text` reads both forms."""
+    """Uncompressed text, in results of earlier releases; `full_text` reads both forms."""
     versions: tuple[int, ...] = ()
     score: str = ""
     compressed: bytes = msgspec.field(default=b"", name="packed")
-    """The text packed by `pack_text`."""
+    """The text, compressed by `pack_text`; with checkpoints, what follows them."""
     length: int = 0
-    """Characters of the whole text."""
+    """Length of the full text in characters."""
     compressed_checkpoints: tuple[bytes, ...] = msgspec.field(default=(), name="earlier")
-    """Packed parts before `packed`, as they were kept while the text was made."""
+    """Data of the checkpoints that precede `compressed`."""
     checkpointed_events: int = msgspec.field(default=0, name="behind")
-    """In a command: events in kept parts that `packed` goes on behind; they are not sent again."""
+    """In a command: events held by the item's checkpoints, which are not sent again."""
 
     @classmethod
     def from_text(
         cls, item_id: str, is_complete: bool, text: str, versions: tuple[int, ...], score: str = ""
     ) -> "ItemResult":
-        """Return a result with its text packed."""
+        """Return a result with its text compressed."""
         return cls(item_id, is_complete, "", versions, score, pack_text(text), len(text))
 
     @property
     def full_text(self) -> str:
-        """The text, unpacked."""
+        """The text, decompressed."""
         if not self.compressed and not self.compressed_checkpoints:
             return self.text
-        packed = (
+        compressed = (
             (*self.compressed_checkpoints, self.compressed)
             if self.compressed
             else self.compressed_checkpoints
         )
-        return "\n".join(unpack_text(each) for each in packed)
+        return "\n".join(unpack_text(each) for each in compressed)
 
     @property
     def response_size(self) -> int:
-        """Bytes that it takes where a client reads it, about."""
+        """Estimated size in a response, in bytes."""
         return len(self.text) + self.length + RESULT_OVERHEAD_BYTES
 
     @property
     def size(self) -> int:
-        """Bytes that it takes between nodes and in memory, about."""
-        packed = len(self.compressed) + sum(len(each) for each in self.compressed_checkpoints)
-        return len(self.text) + packed + RESULT_OVERHEAD_BYTES
+        """Estimated size in messages and memory, in bytes."""
+        compressed = len(self.compressed) + sum(len(each) for each in self.compressed_checkpoints)
+        return len(self.text) + compressed + RESULT_OVERHEAD_BYTES
 
 
 class TextCheckpoint(msgspec.Struct, frozen=True):
-    """Some events of a text in the making, kept so that another leader can go on behind them."""
+    """Consecutive events of an unfinished text, so that another leader can resume after them."""
 
     item_id: str
     after: int
-    """Events before these; with 0 the text begins anew."""
+    """Number of earlier events in the text; 0 starts the text over."""
     events: int
     """Number of these events."""
     last_event_id: int | None
     compressed: bytes = msgspec.field(name="packed")
-    """Their data, joined as in a result and packed."""
+    """Data of the events, joined as in a result and compressed."""
     versions: tuple[int, ...]
-    """Versions that made the text so far, in order of their first event."""
+    """Weight versions that generated the text so far, in order of their first event."""
 
 
 class AcceptJob(Command, frozen=True):
-    """Keep a job; nothing happens when it is kept already."""
+    """Accept a job; idempotent by the job's id."""
 
     job: Job
-    """Without items when `parts` hold them."""
+    """The job, without items if these are staged."""
     parts: int = 0
-    """Staged parts whose items, in order, are the job's."""
+    """Number of staged parts that hold the items, in order; 0: not staged."""
 
 
 class StageItems(Command, frozen=True):
-    """Keep a part of a job too large for one command, until the job itself is accepted."""
+    """Stage some items of a job that is too large for one command, until it is accepted."""
 
     job_id: str
     part: int
@@ -171,100 +170,100 @@
 
 
 class RecordResults(Command, frozen=True):
-    """Append results to a job's list; of items that have none yet, while the job is open."""
+    """Append results of items that have none yet, while the job is open."""
 
     job_id: str
     results: tuple[ItemResult, ...]
 
 
 class KeepParts(Command, frozen=True):
-    """Keep parts of texts in the making; of items without a result, while the job is open."""
+    """Store checkpoints of items that have no result yet, while the job is open."""
 
     job_id: str
     parts: tuple[TextCheckpoint, ...]
 
 
 class EndJob(Command, frozen=True):
-    """End a job: what is listed stays, nothing more is run."""
+    """End a job: recorded results remain readable, no more items are run."""
 
     job_id: str
     at_s: float
-    """Wall clock of the node that was asked, which earlier releases keep jobs by."""
+    """Unix time on the requesting node; only earlier releases use it for retention."""
     tenant: str = ""
-    """Who asks for it."""
+    """The requesting tenant."""
 
 
 class ForgetJobs(Command, frozen=True):
-    """Drop ended jobs that need not be read any more, and count how long the others were kept.
+    """Remove ended jobs after the retention time, and advance the retention clock.
 
-    One command for both, since releases that don't know of counts must be able to apply it.
+    One command for both, since releases without the clock must be able to apply it.
     """
 
     job_ids: tuple[str, ...]
     from_ms: int = 0
-    """The count that `elapsed_ms` goes on from."""
+    """Reading of the retention clock that `elapsed_ms` is added to."""
     elapsed_ms: int = 0
-    """Milliseconds since the count was `from_ms`, on the steady clock of a leader."""
+    """Milliseconds since that reading, on the monotonic clock of the leader."""
 
 
 class JobAccepted(Reply, frozen=True):
-    """The job is kept."""
+    """Outcome of `AcceptJob` and `StageItems`."""
 
     is_new: bool
     is_kept: bool = True
-    """False: parts are missing, so nothing was kept."""
+    """False if staged parts are missing, so that the job was not accepted."""
     is_foreign: bool = False
-    """Whether another tenant's job has the id, so that nothing was kept."""
+    """Whether another tenant's job has the id, so that the job was not accepted."""
 
 
 class ResultsRecorded(Reply, frozen=True):
-    """How many results were new, and why the others were not."""
+    """Number of results or checkpoints that were added, and why the others were dropped."""
 
     count: int
     dropped: dict[str, str] = {}
-    """Causes by item; empty from replicas of earlier releases, and of parts."""
+    """Causes by item; empty for checkpoints and from replicas of earlier releases."""
 
 
 class JobEnded(Reply, frozen=True):
-    """The job is ended; unknown jobs are not."""
+    """Outcome of `EndJob` and `ForgetJobs`; `is_known` is false for an unknown job."""
 
     is_known: bool
 
 
 class ReadResults(Query, frozen=True):
-    """Ask for the results from a position on."""
+    """Read results from position `after` on."""
 
     job_id: str
     after: int
     maximum_bytes: int
     tenant: str = ""
-    """Who asks."""
+    """The requesting tenant."""
 
 
 class ReadItem(Query, frozen=True):
-    """Ask for the body of an item."""
+    """Read the request body of an item."""
 
     job_id: str
     item_id: str
     tenant: str = ""
-    """Who asks."""
+    """The requesting tenant."""
 
 
 class ResultsPage(Reply, frozen=True):
-    """Results of a job; None total: no such job."""
+    """Results of a job; `total` is None if there is no such job."""
 
     total: int | None
     results: tuple[ItemResult, ...] = ()
 
 
 class ItemBody(Reply, frozen=True):
-    """Body of an item; None when it is listed, or there is no such item or open job."""
+    """Request body; None if the item has a result, or there is no such item or open job."""
 
     body: bytes | None
 
 
 class JobState:
-    """One job and what has become of it."""
+    """A job with its results and checkpoints."""
 
     def __init__(self, job: Job) -> None:
         self.job = job
@@ -273,57 +272,57 @@
         self.ended_at_s: float | None = None
         self.items = {item.id: item for item in job.items}
         self.checkpoints: dict[str, tuple[TextCheckpoint, ...]] = {}
-        """Parts of texts in the making by item, each one behind the one before it."""
+        """Checkpoints of unfinished texts, by item, in order and without gaps."""
 
     @property
     def is_open(self) -> bool:
-        """Whether its items are to be run."""
+        """Whether the job has not ended."""
         return self.ended_at_s is None
 
     def add_result(self, result: ItemResult) -> bool:
         """Append a result.
 
-        False when the item has one, is not of this job, or lacks the parts that it goes on behind.
+        False if the item has one, is not of this job, or lacks the checkpoints before the result.
         """
         if result.item_id in self.recorded_ids or result.item_id not in self.items:
             return False
         if result.checkpointed_events:
-            before = self._checkpoints_up_to(result.item_id, result.checkpointed_events)
-            if before is None:
+            preceding = self._checkpoints_up_to(result.item_id, result.checkpointed_events)
+            if preceding is None:
                 return False
-            earlier = tuple(part.compressed for part in before)
+            data = tuple(each.compressed for each in preceding)
             result = msgspec.structs.replace(
-                result, compressed_checkpoints=earlier, checkpointed_events=0
+                result, compressed_checkpoints=data, checkpointed_events=0
             )
         self.recorded_ids.add(result.item_id)
         self.results.append(result)
         self.checkpoints.pop(result.item_id, None)
         return True
 
-    def add_checkpoint(self, part: TextCheckpoint) -> bool:
-        """Keep a part behind those that it goes on from; False when it doesn't join them.
+    def add_checkpoint(self, checkpoint: TextCheckpoint) -> bool:
+        """Append a checkpoint after those that it follows; False if it leaves a gap.
 
-        A new leader may have gone on from an earlier part than the newest one: what its part
-        replaces goes.
+        A new leader may have resumed from an older checkpoint than the newest one: later ones are
+        replaced.
         """
-        if part.item_id in self.recorded_ids or part.item_id not in self.items:
+        if checkpoint.item_id in self.recorded_ids or checkpoint.item_id not in self.items:
             return False
-        before = self._checkpoints_up_to(part.item_id, part.after)
-        if before is None:
+        preceding = self._checkpoints_up_to(checkpoint.item_id, checkpoint.after)
+        if preceding is None:
             return False
-        self.checkpoints[part.item_id] = (*before, part)
+        self.checkpoints[checkpoint.item_id] = (*preceding, checkpoint)
         return True
 
     def _checkpoints_up_to(self, item_id: str, wanted: int) -> tuple[TextCheckpoint, ...] | None:
-        """Kept parts that hold an item's first `wanted` events; None where no part ends there."""
-        before: list[TextCheckpoint] = []
+        """Return the checkpoints of an item's first `wanted` events; None if none ends there."""
+        preceding: list[TextCheckpoint] = []
         events = 0
-        for known in self.checkpoints.get(item_id, ()):
+        for checkpoint in self.checkpoints.get(item_id, ()):
             if events == wanted:
                 break
-            before.append(known)
-            events += known.events
-        return tuple(before) if events == wanted else None
+            preceding.append(checkpoint)
+            events += checkpoint.events
+        return tuple(preceding) if events == wanted else None
 
 
 class _SavedJob(msgspec.Struct, frozen=True):
@@ -342,28 +341,28 @@
 
 
 class BatchJobs(StateMachine):
-    """All batch jobs of a shard."""
+    """State machine of all batch jobs in the shard."""
 
     def __init__(self) -> None:
         self.jobs: dict[str, JobState] = {}
         self.staged: dict[str, dict[int, tuple[JobItem, ...]]] = {}
-        """Parts of jobs that are not accepted yet, by job and number; the oldest job first."""
+        """Staged items by job and part number, the oldest job first."""
         self.retention_clock = RetentionClock()
 
     def command_types(self) -> tuple[type[Command], ...]:
-        """Commands it applies."""
+        """Command types that `apply` takes."""
         return (AcceptJob, StageItems, RecordResults, KeepParts, EndJob, ForgetJobs)
 
     def query_types(self) -> tuple[type[Query], ...]:
-        """Queries it answers."""
+        """Query types that `answer` takes."""
         return (ReadResults, ReadItem)
 
     def reply_types(self) -> tuple[type[Reply], ...]:
-        """What it may return."""
+        """Reply types of both."""
         return (JobAccepted, ResultsRecorded, JobEnded, ResultsPage, ItemBody)
 
     def apply(self, command: Command) -> Reply:
-        """Apply one command."""
+        """Apply a command."""
         match command:
             case AcceptJob(job, parts):
                 return self._accept(job, parts)
@@ -371,12 +370,12 @@
                 return self._stage(job_id, part, items)
             case RecordResults(job_id, results):
                 return self._record(job_id, results)
-            case KeepParts(job_id, text_parts):
-                return self._keep(job_id, text_parts)
+            case KeepParts(job_id, checkpoints):
+                return self._store_checkpoints(job_id, checkpoints)
             case EndJob(job_id, at_s, tenant):
                 return self._end(job_id, at_s, tenant)
             case ForgetJobs():
-                return self._forget(command)
+                return self._remove(command)
         raise TypeError(f"unknown command {type(command).__name__}")
 
     def _accept(self, job: Job, parts: int) -> Reply:
@@ -413,19 +412,19 @@
                 dropped[result.item_id] = CHECKPOINTS_MISSING if is_known else NO_SUCH_ITEM
         return ResultsRecorded(len(results) - len(dropped), dropped)
 
-    def _keep(self, job_id: str, parts: tuple[TextCheckpoint, ...]) -> Reply:
+    def _store_checkpoints(self, job_id: str, checkpoints: tuple[TextCheckpoint, ...]) -> Reply:
         state = self.jobs.get(job_id)
         if state is None or not state.is_open:
             return ResultsRecorded(0)
-        return ResultsRecorded(sum(state.add_checkpoint(part) for part in parts))
+        return ResultsRecorded(sum(state.add_checkpoint(each) for each in checkpoints))
 
-    def _shown(self, job_id: str, tenant: str) -> JobState | None:
-        """A job as a tenant may know of it."""
+    def _visible_job(self, job_id: str, tenant: str) -> JobState | None:
+        """Return a job if the tenant may see it."""
         state = self.jobs.get(job_id)
         return state if state is not None and state.job.is_visible_to(tenant) else None
 
     def _end(self, job_id: str, at_s: float, tenant: str) -> Reply:
-        state = self._shown(job_id, tenant)
+        state = self._visible_job(job_id, tenant)
         if state is None:
             return JobEnded(False)
         if state.is_open:
@@ -433,7 +432,7 @@
             state.checkpoints.clear()
         return JobEnded(True)
 
-    def _forget(self, command: ForgetJobs) -> Reply:
+    def _remove(self, command: ForgetJobs) -> Reply:
         for job_id in command.job_ids:
             self.jobs.pop(job_id, None)
             self.retention_clock.remove(job_id)
@@ -446,9 +445,9 @@
         """Answer a query."""
         match query:
             case ReadResults(job_id, after, maximum_bytes, tenant):
-                return self._read_results(self._shown(job_id, tenant), after, maximum_bytes)
+                return self._read_results(self._visible_job(job_id, tenant), after, maximum_bytes)
             case ReadItem(job_id, item_id, tenant):
-                return self._read_item(self._shown(job_id, tenant), item_id)
+                return self._read_item(self._visible_job(job_id, tenant), item_id)
         raise TypeError(f"unknown query {type(query).__name__}")
 
     def _read_results(self, state: JobState | None, after: int, maximum_bytes: int) -> Reply:
@@ -463,22 +462,22 @@
         return ItemBody(item.body)
 
     def save(self) -> bytes:
-        """The whole state."""
+        """Serialize the state."""
         saved = [
             _SavedJob(state.job, tuple(state.results), state.ended_at_s, dict(state.checkpoints))
             for state in self.jobs.values()
         ]
-        whole = _SavedState(tuple(saved), self.staged, self.retention_clock)
-        return cbor2.dumps(msgspec.to_builtins(whole, builtin_types=(bytes,)))
+        saved_state = _SavedState(tuple(saved), self.staged, self.retention_clock)
+        return cbor2.dumps(msgspec.to_builtins(saved_state, builtin_types=(bytes,)))
 
     def load(self, state: bytes) -> None:
-        """Replace the state by a saved one."""
+        """Replace the state by a serialized one."""
         plain: Any = cbor2.loads(state)
         self.jobs = {}
-        whole = msgspec.convert(plain, _SavedState)
-        self.staged = whole.staged
-        self.retention_clock = whole.retention_clock
-        for saved in whole.jobs:
+        saved_state = msgspec.convert(plain, _SavedState)
+        self.staged = saved_state.staged
+        self.retention_clock = saved_state.retention_clock
+        for saved in saved_state.jobs:
             job = JobState(saved.job)
             for result in saved.results:
                 job.add_result(result)
--- a/src/bellweir/hosted/batches/text_cache.py
+++ b/src/bellweir/hosted/batches/text_cache.py
@@ -1,8 +1,8 @@
-"""Texts of items that ended unfinished, for the later job that hands in the same items again.
+"""Cache of texts of ended jobs, for later jobs that submit the same items again.
 
-Groups that were not whole when a trainer went on may come again under the same ids. What was made
-of their texts is used if its versions fit the later job: a text that is whole is only scored
-again, a beginning is gone on with behind its last event.
+A trainer may submit the items of incomplete groups again under the same ids. A cached text is
+reused if its weight versions fit the later job: a complete text is only scored, a partial text is
+resumed after its last event.
 """
 
 from collections import OrderedDict
@@ -13,7 +13,6 @@
 from bellweir.hosted.batches.state import JobItem, JobState
 
 MAX_TEXTS = 1_024
-"""Beginnings of texts that are kept; the oldest goes first."""
 
 
 @dataclass(frozen=True)
@@ -24,17 +23,17 @@
     last_event_id: int | None
     events: int
     versions: tuple[int, ...]
-    is_whole: bool
+    is_complete: bool
 
 
 class TextCache:
-    """Not safe for threads: its owner holds a lock."""
+    """Texts by item id; evicts the oldest. Not thread-safe: the owner holds a lock."""
 
     def __init__(self) -> None:
         self._texts: OrderedDict[str, _CachedText] = OrderedDict()
 
     def add(self, progress: ItemProgress) -> None:
-        """Keep what was made of an item whose job has ended."""
+        """Add the text of an item whose job has ended."""
         if not progress.pieces:
             return
         self._texts[progress.item.id] = _CachedText(
@@ -44,35 +43,35 @@
             progress.last_event_id,
             progress.events,
             tuple(progress.versions),
-            _is_whole(progress),
+            _is_text_complete(progress),
         )
         while len(self._texts) > MAX_TEXTS:
             self._texts.popitem(last=False)
 
     def clear(self) -> None:
-        """Forget everything: another node leads."""
+        """Remove all texts, since another node leads."""
         self._texts.clear()
 
     def restore(self, progress: ItemProgress, jobs: Iterable[JobState]) -> None:
-        """Give a new item what is known of its text, if that fits its job."""
-        beginning = self._texts.pop(progress.item.id, None) or _listed_text(progress, jobs)
-        if beginning is None or not _fits(beginning, progress):
+        """Initialize a new item with its cached or recorded text, if that fits its job."""
+        cached = self._texts.pop(progress.item.id, None) or _recorded_text(progress, jobs)
+        if cached is None or not _fits(cached, progress):
             return
-        progress.pieces = list(beginning.pieces)
-        progress.last_event_id = beginning.last_event_id
-        progress.events = beginning.events
-        progress.versions = list(beginning.versions)
-        if beginning.is_whole:
+        progress.pieces = list(cached.pieces)
+        progress.last_event_id = cached.last_event_id
+        progress.events = cached.events
+        progress.versions = list(cached.versions)
+        if cached.is_complete:
             progress.complete_generation()
 
 
-def _is_whole(progress: ItemProgress) -> bool:
+def _is_text_complete(progress: ItemProgress) -> bool:
     result = progress.result
     return progress.stage is Stage.SCORING or (result is not None and result.is_complete)
 
 
-def _listed_text(progress: ItemProgress, jobs: Iterable[JobState]) -> _CachedText | None:
-    """The whole text of an item that an earlier job lists as complete."""
+def _recorded_text(progress: ItemProgress, jobs: Iterable[JobState]) -> _CachedText | None:
+    """Return the complete text of an item from the results of another job."""
     item_id = progress.item.id
     for state in jobs:
         if state.job.id == progress.job.id or item_id not in state.recorded_ids:
@@ -86,11 +85,11 @@
     return None
 
 
-def _fits(beginning: _CachedText, progress: ItemProgress) -> bool:
-    before, now = beginning.item, progress.item
+def _fits(cached: _CachedText, progress: ItemProgress) -> bool:
+    before, now = cached.item, progress.item
     is_same = (before.path, before.headers, before.body) == (now.path, now.headers, now.body)
-    is_same = is_same and beginning.tenant == progress.job.tenant
-    versions = beginning.versions
+    is_same = is_same and cached.tenant == progress.job.tenant
+    versions = cached.versions
     is_fresh = bool(versions) and min(versions) >= progress.job.minimum_version
     is_pure = not progress.route.single_version or len(versions) == 1
     return is_same and is_fresh and is_pure
