--- a/bench/sight_judgements.py
+++ b/bench/sight_judgements.py
@@ -12,10 +12,10 @@
 from collections.abc import Callable, Sequence
 
 from bellweir.hosted.incarnation import Incarnation
-from bellweir.hosted.sight import judgement
-from bellweir.hosted.sight.counts import Counts
-from bellweir.hosted.sight.interface import SeenOutcome
-from bellweir.hosted.sight.judgement import Judgement
+from bellweir.hosted.sight import outlier_detection
+from bellweir.hosted.sight.counts import DecayingCounts
+from bellweir.hosted.sight.interface import ObservedOutcome
+from bellweir.hosted.sight.outlier_detection import OutlierDetector
 
 SECONDS = 30.0
 RATE = 6.0
@@ -40,14 +40,14 @@
 
 def by_quartile(figures: Sequence[float], own: float | None) -> float | None:
     """The bound by the landed way: a factor on the lower quartile."""
-    fellow = judgement.lower_quartile(figures, own)
-    return None if fellow is None else judgement.SLOW_FACTOR * fellow
+    fellow = outlier_detection.lower_quartile(figures, own)
+    return None if fellow is None else outlier_detection.SLOW_FACTOR * fellow
 
 
 def by_median(figures: Sequence[float], own: float | None) -> float | None:
     """The same factor on the fellows' median."""
     left = others(figures, own)
-    return judgement.SLOW_FACTOR * statistics.median(left) if left else None
+    return outlier_detection.SLOW_FACTOR * statistics.median(left) if left else None
 
 
 def by_deviation(figures: Sequence[float], _own: float | None) -> float | None:
@@ -98,19 +98,19 @@
     """Play one load with one seed; the first `bad` workers are the bad ones."""
     drawn = random.Random(seed)
     workers = [Incarnation(f"i-{number}") for number in range(len(factors))]
-    seen = {one: Counts() for one in workers}
-    judged = Judgement()
+    seen = {one: DecayingCounts() for one in workers}
+    judged = OutlierDetector()
     aside: set[Incarnation] = set()
     for number in range(round(SECONDS * RATE)):
         now_s = number / RATE
-        well = [one for one in workers if not judged.is_set_aside(one)]
-        trial = next((one for one in workers if judged.may_try(one, now_s)), None)
+        well = [one for one in workers if not judged.is_ejected(one)]
+        trial = next((one for one in workers if judged.may_probe(one, now_s)), None)
         one = trial or drawn.choice(well)
         place = workers.index(one)
         took_s = USUAL_S * factors[place] * drawn.lognormvariate(0.0, SPREAD)
-        seen[one].add(SeenOutcome.SERVED, took_s, now_s)
-        judged.judge("s", seen, now_s)
-        aside |= {each for each in workers if judged.is_set_aside(each)}
+        seen[one].add(ObservedOutcome.SERVED, took_s, now_s)
+        judged.update("s", seen, now_s)
+        aside |= {each for each in workers if judged.is_ejected(each)}
         tally.requests += 1
         tally.at_bad += place < bad
         tally.seconds += took_s
@@ -118,20 +118,22 @@
     tally.sound_aside += len(aside - set(workers[:bad]))
 
 
-def slow_by(reference: Reference, is_sure: bool) -> Callable[..., judgement._Finding | None]:
+def slow_by(
+    reference: Reference, is_sure: bool
+) -> Callable[..., outlier_detection._Finding | None]:
     """The judgement's test for slowness with another bound."""
 
     def slow(
-        counts: Counts, medians: Sequence[float], fewest: float, *, is_one: bool
-    ) -> judgement._Finding | None:
+        counts: DecayingCounts, medians: Sequence[float], fewest: float, *, is_one: bool
+    ) -> outlier_detection._Finding | None:
         own = counts.quantile_s(0.5)
         bound = reference(medians, own if is_one else None)
-        least = judgement.surely_at_least_s(counts) if is_sure else own
+        least = outlier_detection.surely_at_least_s(counts) if is_sure else own
         if counts.served < fewest or bound is None or least <= bound:
             return None
-        if own - bound / judgement.SLOW_FACTOR < judgement.SLOW_AT_LEAST_S:
+        if own - bound / outlier_detection.SLOW_FACTOR < outlier_detection.SLOW_AT_LEAST_S:
             return None
-        return judgement._Finding(judgement.VerdictKind.SLOW, bound, own / bound)
+        return outlier_detection._Finding(outlier_detection.EjectionCause.SLOW, bound, own / bound)
 
     return slow
 
@@ -142,7 +144,7 @@
     parser.add_argument("--seeds", type=int, default=5)
     seeds = parser.parse_args().seeds
     for way, (reference, is_sure) in WAYS.items():
-        judgement._slow = slow_by(reference, is_sure)
+        outlier_detection._slow = slow_by(reference, is_sure)
         for load, (factors, bad) in LOADS.items():
             tally = Tally()
             for seed in range(seeds):
--- a/bench/sight_spread.py
+++ b/bench/sight_spread.py
@@ -17,10 +17,10 @@
 from returns.result import Result, Success
 
 from bellweir.hosted.incarnation import Incarnation
-from bellweir.hosted.sight.exchange import PERIOD_S, SightExchange
-from bellweir.hosted.sight.interface import SeenOutcome
-from bellweir.hosted.sight.shared import SharedSight
-from bellweir.hosted.sight.table import SightTable
+from bellweir.hosted.sight.exchange import GOSSIP_INTERVAL_S, ObservationExchange
+from bellweir.hosted.sight.interface import ObservedOutcome
+from bellweir.hosted.sight.monitor import SharedWorkerMonitor
+from bellweir.hosted.sight.table import ObservationTable
 from bellweir.membership.interface import Member, Membership, MembershipListener, MemberState
 from bellweir.wire.codec import MessageCodec
 from bellweir.wire.frames import OneWay, decode_struct, encode_struct
@@ -119,10 +119,10 @@
             return hall.now_s
 
         self.transport = HollowTransport(node, hall)
-        self.table = SightTable(node, hall.members[node].zone, round(1000 * time.time()))
+        self.table = ObservationTable(node, hall.members[node].zone, round(1000 * time.time()))
         membership = HollowMembership(node, hall)
-        self.exchange = SightExchange(self.transport, membership, self.table, now_s)
-        self.sight = SharedSight(self.table, lambda: {SERVICE: hall.workers}, now_s=now_s)
+        self.exchange = ObservationExchange(self.transport, membership, self.table, now_s)
+        self.monitor = SharedWorkerMonitor(self.table, lambda: {SERVICE: hall.workers}, now_s=now_s)
 
 
 def timed(costs: dict[str, float], what: str, run: Callable[[], Any]) -> None:
@@ -140,7 +140,7 @@
     failed, failed_s = hall.workers[0], 0.0
     heard: dict[int, float] = {}
     costs: dict[str, float] = {}
-    step_s = PERIOD_S / STEPS_OF_ROUND
+    step_s = GOSSIP_INTERVAL_S / STEPS_OF_ROUND
     owed = 0.0
     warm_s = seconds / 2
     next_look_s = dict.fromkeys(range(count), hall.now_s)
@@ -152,18 +152,20 @@
             owed -= 1.0
             one = drawn.choice(gateways)
             worker = drawn.choice(hall.workers[1:])
-            one.sight.begun(SERVICE, worker)
-            one.sight.ended(worker, SeenOutcome.SERVED, USUAL_S * drawn.uniform(0.5, 2.0))
+            one.monitor.record_start(SERVICE, worker)
+            one.monitor.record_end(
+                worker, ObservedOutcome.SERVED, USUAL_S * drawn.uniform(0.5, 2.0)
+            )
         if not failed_s and hall.now_s - began_s >= warm_s:
             failed_s = hall.now_s
-            gateways[0].sight.begun(SERVICE, failed)
-            gateways[0].sight.ended(failed, SeenOutcome.FAILED, 0.001)
+            gateways[0].monitor.record_start(SERVICE, failed)
+            gateways[0].monitor.record_end(failed, ObservedOutcome.FAILED, 0.001)
         for number, one in enumerate(gateways):
             if number % STEPS_OF_ROUND == step % STEPS_OF_ROUND:
-                timed(costs, "exchange", one.exchange.tell)
+                timed(costs, "exchange", one.exchange.run_round)
             if hall.now_s >= next_look_s[number]:
-                timed(costs, "look", one.sight.look)
-                next_look_s[number] = hall.now_s + one.sight.pause_s
+                timed(costs, "look", one.monitor.refresh)
+                next_look_s[number] = hall.now_s + one.monitor.refresh_pause_s
             if failed_s and number not in heard and one.table.merged(failed, hall.now_s).failed:
                 heard[number] = hall.now_s - failed_s
     total_s = count * seconds
--- a/experiments/room.py
+++ b/experiments/room.py
@@ -8,13 +8,13 @@
 from collections import Counter
 
 from features.support.room_replay import Replay, burst
-from features.support.room_ways import DeficitRoundRobin, FromQueue
+from features.support.room_ways import AppointmentRetryAfter, DeficitRoundRobin
 
-from bellweir.hosted.queueing.interface import ReturnTimes
-from bellweir.hosted.queueing.return_times import FromRates
-from bellweir.hosted.queueing.start_time_fair import StartTimeFair
-from bellweir.hosted.room.judge import ExpectedTimes
-from bellweir.hosted.room.observed import FRESH_SHARE
+from bellweir.hosted.queueing.interface import RetryAfterPolicy
+from bellweir.hosted.queueing.retry_after import RateBasedRetryAfter
+from bellweir.hosted.queueing.start_time_fair import StartTimeFairQueueing
+from bellweir.hosted.room.observed import FRESH_TARGET_SHARE
+from bellweir.hosted.room.policy import ExpectedLatencyPolicy
 
 USUAL_S = 0.0375
 LARGE = {"large": 0.8} | {f"small-{number}": 0.02 for number in range(10)}
@@ -27,29 +27,59 @@
 STATES = ("in_time", "in_time_after_refusal", "late", "refused", "lost")
 
 
-class Fixed(ReturnTimes):
+class Fixed(RetryAfterPolicy):
     """The same time for everybody."""
 
-    def after_s(self, service, outlook, left_s, left_share, now_s):
+    def retry_after_s(self, service, estimate, remaining_s, remaining_share, now_s):
         """A fifth of a second."""
         return 0.2
 
 
 def ways(seed):
     """Name, judge, order, return times and reserve of each way."""
-    decides, waits = ExpectedTimes(), ExpectedTimes(sheds=False)
-    starts = ExpectedTimes(waits=False, refuses=False, sheds=False)
+    decides, waits = ExpectedLatencyPolicy(), ExpectedLatencyPolicy(sheds=False)
+    starts = ExpectedLatencyPolicy(waits=False, refuses=False, sheds=False)
     drawn = random.Random(seed)
-    yield "start at once, fixed", starts, StartTimeFair, Fixed, False
-    yield "start at once, rates", starts, StartTimeFair, lambda: FromRates(drawn.random), False
-    yield "start at once, queue", starts, StartTimeFair, FromQueue, False
-    yield "wait, SFQ, rates", waits, StartTimeFair, lambda: FromRates(drawn.random), False
-    yield "SFQ, rates", decides, StartTimeFair, lambda: FromRates(drawn.random), False
-    yield "SFQ, queue", decides, StartTimeFair, FromQueue, False
-    yield "DRR, rates", decides, DeficitRoundRobin, lambda: FromRates(drawn.random), False
-    yield "SFQ, fixed", decides, StartTimeFair, Fixed, False
-    yield "SFQ, rates, reserve", decides, StartTimeFair, lambda: FromRates(drawn.random), True
-    yield "DRR, rates, reserve", decides, DeficitRoundRobin, lambda: FromRates(drawn.random), True
+    yield "start at once, fixed", starts, StartTimeFairQueueing, Fixed, False
+    yield (
+        "start at once, rates",
+        starts,
+        StartTimeFairQueueing,
+        lambda: RateBasedRetryAfter(drawn.random),
+        False,
+    )
+    yield "start at once, queue", starts, StartTimeFairQueueing, AppointmentRetryAfter, False
+    yield (
+        "wait, SFQ, rates",
+        waits,
+        StartTimeFairQueueing,
+        lambda: RateBasedRetryAfter(drawn.random),
+        False,
+    )
+    yield (
+        "SFQ, rates",
+        decides,
+        StartTimeFairQueueing,
+        lambda: RateBasedRetryAfter(drawn.random),
+        False,
+    )
+    yield "SFQ, queue", decides, StartTimeFairQueueing, AppointmentRetryAfter, False
+    yield "DRR, rates", decides, DeficitRoundRobin, lambda: RateBasedRetryAfter(drawn.random), False
+    yield "SFQ, fixed", decides, StartTimeFairQueueing, Fixed, False
+    yield (
+        "SFQ, rates, reserve",
+        decides,
+        StartTimeFairQueueing,
+        lambda: RateBasedRetryAfter(drawn.random),
+        True,
+    )
+    yield (
+        "DRR, rates, reserve",
+        decides,
+        DeficitRoundRobin,
+        lambda: RateBasedRetryAfter(drawn.random),
+        True,
+    )
 
 
 def main():
@@ -59,9 +89,9 @@
         totals, offered = {}, Counter()
         for seed in seeds:
             arrivals = burst(seed, rate, tenants=tenants, urgent=("urgent",))
-            for name, judge, order, make, reserve in ways(seed):
+            for name, policy, discipline, make, reserve in ways(seed):
                 kept = [make() for _ in range(4)]
-                replay = Replay(judge, order, kept.__getitem__, times_s, reserve=reserve)
+                replay = Replay(policy, discipline, kept.__getitem__, times_s, reserve=reserve)
                 totals[name] = totals.get(name, Counter()) + replay.run(arrivals)
                 offered[name] += replay.offered
         print(f"\n{load}: {rate} a second, 14 times as many for 10 s")
@@ -76,19 +106,19 @@
     """One large tenant, by how often gateways hear of each other and the age that counts."""
     rate, times_s, tenants = LOADS["one large tenant"]
     for sight_age_s, gateways in ((0.1, 4), (0.1, 12), (0.5, 4), (0.5, 12)):
-        for share in (None, 0.25, FRESH_SHARE, 1.0, float("inf")):
+        for share in (None, 0.25, FRESH_TARGET_SHARE, 1.0, float("inf")):
             total = Counter()
             for seed in seeds:
                 drawn = random.Random(seed)
-                kept = [FromRates(drawn.random) for _ in range(gateways)]
+                kept = [RateBasedRetryAfter(drawn.random) for _ in range(gateways)]
                 decides = share is not None
-                judge = ExpectedTimes(waits=decides, refuses=decides, sheds=decides)
+                policy = ExpectedLatencyPolicy(waits=decides, refuses=decides, sheds=decides)
                 how = {
                     "gateways": gateways,
                     "sight_age_s": sight_age_s,
                     "fresh_share": share or 0.0,
                 }
-                replay = Replay(judge, StartTimeFair, kept.__getitem__, times_s, **how)
+                replay = Replay(policy, StartTimeFairQueueing, kept.__getitem__, times_s, **how)
                 total += replay.run(burst(seed, rate, tenants=tenants))
             print(f"{gateways} gateways, {sight_age_s} s, share {share}:", _line(total))
 
--- a/features/steps/hosted_choice_steps.py
+++ b/features/steps/hosted_choice_steps.py
@@ -7,8 +7,8 @@
 import hypothesis.strategies as st
 from behave import given as given_step
 from behave import then, when
+from features.support.fake_monitor import FakeWorkerMonitor
 from features.support.hosted_gateway import GatewayUnderTest
-from features.support.known_sight import KnownSight
 from features.support.sight_nodes import SERVICE, SightNetwork
 from hypothesis import given, settings
 
@@ -17,9 +17,9 @@
 from bellweir.hosted.serving.attempt import AttemptState
 from bellweir.hosted.serving.failed_attempt import FailedAttempt
 from bellweir.hosted.serving.selection import WorkerLoads
-from bellweir.hosted.sight.exchange import PERIOD_S
-from bellweir.hosted.sight.interface import SeenOutcome, WorkerSeen
-from bellweir.hosted.sight.tries import RESERVE_TRIES
+from bellweir.hosted.sight.exchange import GOSSIP_INTERVAL_S
+from bellweir.hosted.sight.interface import ObservedOutcome, WorkerStats
+from bellweir.hosted.sight.retry_budget import RESERVE_RETRIES
 from bellweir.hosted.sight.worker_load import WorkerLoad
 from bellweir.hosted.views.workers import Worker
 from bellweir.kernel.listeners import address_of
@@ -33,7 +33,7 @@
 @given_step('workers "a" and "b" behind a gateway that shares its sight')
 def given_workers(context):
     context.workers = {name: WorkerStandIn(f"i-{name}") for name in "ab"}
-    context.sight = KnownSight()
+    context.sight = FakeWorkerMonitor()
     context.gateway = GatewayUnderTest(list(context.workers.values()), context.sight)
     context.cleanup.callback(context.gateway.close)
     for worker in context.workers.values():
@@ -47,12 +47,12 @@
 @given_step('worker "{name}" is set aside')
 def given_aside(context, name):
     one = incarnation_of(context, name)
-    context.sight.known[one] = WorkerSeen(one, is_set_aside=True)
+    context.sight.stats_by_worker[one] = WorkerStats(one, is_ejected=True)
 
 
 @given_step('worker "{name}" may get a trial')
 def given_trial(context, name):
-    context.sight.trials.add(incarnation_of(context, name))
+    context.sight.probes.add(incarnation_of(context, name))
 
 
 @given_step('the next request at worker "{name}" fails')
@@ -65,7 +65,9 @@
     for each in "ab":
         one = incarnation_of(context, each)
         in_hand = count if each == name else 0
-        context.sight.known[one] = WorkerSeen(one, in_hand, usual_s=0.5, slow_s=0.6, age_s=0.1)
+        context.sight.stats_by_worker[one] = WorkerStats(
+            one, in_hand, median_s=0.5, p95_s=0.6, age_s=0.1
+        )
 
 
 @given_step(
@@ -76,7 +78,7 @@
     context.slow, context.sound = (
         Worker(name, WorkerEntry("app", f"{name}:1", slots=slots)) for name in ("slow", "sound")
     )
-    context.known = KnownSight()
+    context.known = FakeWorkerMonitor()
     context.loads = WorkerLoads("a", sight=context.known)
     note_seen(context, context.slow, 0, 0.04 * factor)
     note_seen(context, context.sound, count, 0.04)
@@ -84,7 +86,7 @@
 
 def note_seen(context, worker, in_hand, usual_s):
     one = worker.incarnation
-    context.known.known[one] = WorkerSeen(one, in_hand, usual_s, 2 * usual_s, age_s=0.1)
+    context.known.stats_by_worker[one] = WorkerStats(one, in_hand, usual_s, 2 * usual_s, age_s=0.1)
 
 
 def chosen_of(context, count):
@@ -129,14 +131,14 @@
 )
 def then_by_age(context):
     def ranks(load, age_s):
-        sight = KnownSight()
+        sight = FakeWorkerMonitor()
         loads = WorkerLoads("a", sight=sight)
         workers = [worker_of(number) for number in range(2)]
         for worker in workers:
             loads.take(worker)
             loads.answered(worker.incarnation, 0.1)
         first = workers[0].incarnation
-        sight.known[first] = WorkerSeen(first, load=load, load_age_s=age_s)
+        sight.stats_by_worker[first] = WorkerStats(first, load=load, load_age_s=age_s)
         return [loads._rank(worker, time.monotonic(), None)[:-1] for worker in workers]
 
     for load in (WorkerLoad(3, 1, 4), WorkerLoad(0, 0, 4, 300)):
@@ -147,12 +149,12 @@
 
 @given_step("the budget of further tries is spent")
 def given_spent(context):
-    context.sight.may_retry = False
+    context.sight.allows_retries = False
 
 
 @given_step("fellows answer within {milliseconds:d} ms")
 def given_fellows(context, milliseconds):
-    context.sight.slow_s = milliseconds / 1000
+    context.sight.p95_s = milliseconds / 1000
 
 
 @given_step('worker "{name}" takes its requests and never answers, and is tried first')
@@ -174,7 +176,9 @@
     for each in "ab":
         one = incarnation_of(context, each)
         usual_s = 0.01 if each == name else 0.5
-        context.sight.known[one] = WorkerSeen(one, usual_s=usual_s, slow_s=0.6, age_s=0.1)
+        context.sight.stats_by_worker[one] = WorkerStats(
+            one, median_s=usual_s, p95_s=0.6, age_s=0.1
+        )
 
     def swallow():
         connection, _ = listener.accept()
@@ -193,7 +197,7 @@
     context.answers = [context.gateway.send("/idempotent/x") for _ in range(count)]
     context.ran = before
     for instance, outcome in context.sight.ends:
-        context.ran[instance.removeprefix("i-")] += outcome is SeenOutcome.SERVED
+        context.ran[instance.removeprefix("i-")] += outcome is ObservedOutcome.SERVED
 
 
 def then_all_answered(context):
@@ -221,7 +225,7 @@
 @then("the last answer is {status:d}, and 1 further try was refused")
 def then_refused(context, status):
     assert context.answers[-1].status == status
-    assert context.sight.further == {"refused": 1}, context.sight.further
+    assert context.sight.retries == {"refused": 1}, context.sight.retries
 
 
 @then(
@@ -230,10 +234,10 @@
 )
 def then_given_up(context, name):
     then_all_answered(context)
-    assert (f"i-{name}", SeenOutcome.LATE) in context.sight.ends, context.sight.ends
-    assert context.timeouts_s[0] == 2 * context.sight.slow_s, context.timeouts_s
+    assert (f"i-{name}", ObservedOutcome.LATE) in context.sight.ends, context.sight.ends
+    assert context.timeouts_s[0] == 2 * context.sight.p95_s, context.timeouts_s
     assert context.closed.wait(5.0)
-    assert context.sight.further == {"made": 1}
+    assert context.sight.retries == {"made": 1}
 
 
 def worker_of(number):
@@ -245,7 +249,7 @@
     @settings(max_examples=100, deadline=None)
     @given(loads=st.lists(st.tuples(st.integers(0, 6), st.floats(0.02, 2.0)), min_size=2))
     def as_before(loads):
-        plain, sighted = WorkerLoads("a"), WorkerLoads("a", sight=KnownSight())
+        plain, sighted = WorkerLoads("a"), WorkerLoads("a", sight=FakeWorkerMonitor())
         workers = [worker_of(number) for number in range(len(loads))]
         ranks = []
         for each in (plain, sighted):
@@ -265,7 +269,7 @@
     "that left"
 )
 def then_told(context):
-    sight = KnownSight()
+    sight = FakeWorkerMonitor()
     loads = WorkerLoads("a", sight=sight)
     worker = worker_of(1)
 
@@ -281,16 +285,16 @@
     end(AttemptState.UNKNOWN, is_late=True)
     end(AttemptState.UNKNOWN, is_late=True, is_cancelled=True)
     told = [outcome for _, outcome in sight.ends]
-    failed = SeenOutcome.FAILED
-    expected = [SeenOutcome.SERVED, failed, SeenOutcome.REFUSED, failed]
-    assert told == [*expected, SeenOutcome.LATE, SeenOutcome.UNKNOWN], told
+    failed = ObservedOutcome.FAILED
+    expected = [ObservedOutcome.SERVED, failed, ObservedOutcome.REFUSED, failed]
+    assert told == [*expected, ObservedOutcome.LATE, ObservedOutcome.UNKNOWN], told
     assert loads.in_hand(worker.incarnation) == 0
 
 
 @given_step("{gateways:d} gateways in {zones:d} zones that share their sight")
 def given_network(context, gateways, zones):
     context.network = network = SightNetwork(gateways, zones, try_share=TRY_SHARE)
-    context.loads = [WorkerLoads("a", sight=one.sight) for one in network.all()]
+    context.loads = [WorkerLoads("a", sight=one.monitor) for one in network.all()]
     context.entries = [worker_of(number) for number in range(len(network.workers))]
 
 
@@ -298,7 +302,7 @@
 def when_all_fail(context, seconds):
     context.first = context.further = 0
     context.seconds = seconds
-    for _ in range(round(seconds / PERIOD_S)):
+    for _ in range(round(seconds / GOSSIP_INTERVAL_S)):
         for loads in context.loads:
             tried = []
             while (worker := loads.choose(context.entries, tried)) is not None:
@@ -313,7 +317,7 @@
 def then_within(context):
     most_a_request = len(context.entries) - 1
     before_word = WORD_S * context.first / context.seconds * most_a_request
-    most = TRY_SHARE * context.first + RESERVE_TRIES + before_word
+    most = TRY_SHARE * context.first + RESERVE_RETRIES + before_word
     assert context.further <= most, (context.further, context.first)
     assert context.further < 0.4 * most_a_request * context.first, context.further
 
@@ -321,17 +325,17 @@
 @when("one worker of 4 takes ten times as long for {seconds:d} s")
 def when_slow(context, seconds):
     network = context.network
-    for number in range(round(seconds / PERIOD_S)):
+    for number in range(round(seconds / GOSSIP_INTERVAL_S)):
         for place, one in enumerate(network.all()):
             if place % 4 == number % 4:
                 worker = network.workers[(place // 4 + number) % 4]
                 slow = worker == Incarnation("i-0")
-                one.see(worker, SeenOutcome.SERVED, 0.8 if slow else 0.08)
+                one.see(worker, ObservedOutcome.SERVED, 0.8 if slow else 0.08)
         network.run(1)
 
 
 @then("all gateways have set just that worker aside")
 def then_just_that(context):
     for one in context.network.all():
-        aside = {each for each in context.network.workers if one.sight.seen(each).is_set_aside}
+        aside = {each for each in context.network.workers if one.monitor.stats(each).is_ejected}
         assert aside == {Incarnation("i-0")}, (one.transport.node, aside)
--- a/features/steps/hosted_judgement_steps.py
+++ b/features/steps/hosted_judgement_steps.py
@@ -9,9 +9,9 @@
 from hypothesis import given, settings
 
 from bellweir.hosted.incarnation import Incarnation
-from bellweir.hosted.sight.counts import Counts
-from bellweir.hosted.sight.interface import SeenOutcome
-from bellweir.hosted.sight.judgement import LONGEST_ASIDE_S, Judgement, most_set_aside
+from bellweir.hosted.sight.counts import DecayingCounts
+from bellweir.hosted.sight.interface import ObservedOutcome
+from bellweir.hosted.sight.outlier_detection import LONGEST_ASIDE_S, OutlierDetector, most_set_aside
 
 STEP_S = 0.1
 USUAL_S = 0.1
@@ -25,8 +25,8 @@
     def __init__(self, count, seed=1):
         self.random = random.Random(seed)
         self.workers = [Incarnation(f"i-{number}") for number in range(count)]
-        self.seen = {one: Counts() for one in self.workers}
-        self.judgement = Judgement()
+        self.seen = {one: DecayingCounts() for one in self.workers}
+        self.judgement = OutlierDetector()
         self.verdicts = []
         self.sends = dict.fromkeys(self.workers, 0)
         self.sends_aside = dict.fromkeys(self.workers, 0)
@@ -37,15 +37,15 @@
             one = self._choose(now_s)
             outcome, took_s = outcome_of(one, now_s)
             self.seen[one].add(outcome, took_s, now_s)
-            changes = self.judgement.judge("s", self.seen, now_s)
+            changes = self.judgement.update("s", self.seen, now_s)
             self.verdicts += [(now_s, change) for change in changes]
 
     def _choose(self, now_s):
         for one in self.workers:
-            if self.judgement.may_try(one, now_s):
+            if self.judgement.may_probe(one, now_s):
                 self.sends_aside[one] += 1
                 return one
-        well = [one for one in self.workers if not self.judgement.is_set_aside(one)]
+        well = [one for one in self.workers if not self.judgement.is_ejected(one)]
         one = self.random.choice(well)
         self.sends[one] += 1
         return one
@@ -57,12 +57,12 @@
     def outcome_of(one, _now_s):
         took_s = USUAL_S * load.random.uniform(0.67, 1.33)
         if one not in bad:
-            return SeenOutcome.SERVED, took_s
+            return ObservedOutcome.SERVED, took_s
         if kind in SLOWNESS:
-            return SeenOutcome.SERVED, took_s * SLOWNESS[kind]
+            return ObservedOutcome.SERVED, took_s * SLOWNESS[kind]
         if kind == "failing all" or load.random.random() < GREY_SHARE:
-            return SeenOutcome.FAILED, 0.001
-        return SeenOutcome.SERVED, took_s
+            return ObservedOutcome.FAILED, 0.001
+        return ObservedOutcome.SERVED, took_s
 
     return outcome_of
 
@@ -98,7 +98,7 @@
 
         def outcome_of(one, _now_s, load=load, fast=fast):
             took_s = 0.03 * load.random.lognormvariate(0.0, 0.5)
-            return SeenOutcome.SERVED, took_s if one in fast else 2.2 * took_s
+            return ObservedOutcome.SERVED, took_s if one in fast else 2.2 * took_s
 
         load.run(outcome_of, 30.0)
         aside += len({change.incarnation for _, change in load.verdicts})
@@ -116,7 +116,7 @@
 
         def outcome_of(_one, _now_s, load=load):
             failed = load.random.random() < percent / 100
-            return SeenOutcome.FAILED if failed else SeenOutcome.SERVED, USUAL_S
+            return ObservedOutcome.FAILED if failed else ObservedOutcome.SERVED, USUAL_S
 
         load.run(outcome_of, 20.0)
         aside += len({change.incarnation for _, change in load.verdicts})
@@ -137,7 +137,7 @@
     assert {one.incarnation for _, one in load.verdicts} == {load.workers[0]}
     assert not load.verdicts[0][1].is_return
     assert load.verdicts[-1][1].is_return, load.verdicts[-1][1].kind
-    assert not load.judgement.is_set_aside(load.workers[0])
+    assert not load.judgement.is_ejected(load.workers[0])
 
 
 @given_step("{count:d} workers are judged of which one is bad for 5 s of each 12 s")
@@ -160,7 +160,7 @@
 EVENTS = st.lists(
     st.tuples(
         st.integers(0, 4),
-        st.sampled_from([SeenOutcome.SERVED, SeenOutcome.FAILED, SeenOutcome.REFUSED]),
+        st.sampled_from([ObservedOutcome.SERVED, ObservedOutcome.FAILED, ObservedOutcome.REFUSED]),
         st.floats(0.001, 10.0),
         st.floats(0.0, 3.0),
     ),
@@ -174,18 +174,18 @@
     @given(count=st.integers(1, 5), events=EVENTS, leaves=st.integers(0, 60))
     def bounded(count, events, leaves):
         workers = [Incarnation(f"i-{number}") for number in range(count)]
-        seen = {one: Counts() for one in workers}
-        judgement = Judgement()
+        seen = {one: DecayingCounts() for one in workers}
+        judgement = OutlierDetector()
         now_s = 0.0
         for number, (which, outcome, took_s, pause_s) in enumerate(events):
             now_s += pause_s
             if number == leaves and len(seen) > 1:
                 del seen[next(iter(seen))]
-                judgement.forget_others(seen)
+                judgement.retain(seen)
             one = list(seen)[which % len(seen)]
             seen[one].add(outcome, took_s, now_s)
-            judgement.judge("s", seen, now_s)
-            aside = sum(judgement.is_set_aside(each) for each in seen)
+            judgement.update("s", seen, now_s)
+            aside = sum(judgement.is_ejected(each) for each in seen)
             assert aside <= most_set_aside(len(seen))
 
     bounded()
@@ -196,7 +196,7 @@
     @settings(max_examples=100, deadline=None)
     @given(before=EVENTS, after=EVENTS)
     def exact(before, after):
-        whole, late = Counts(), Counts()
+        whole, late = DecayingCounts(), DecayingCounts()
         now_s = 0.0
         for _, outcome, took_s, pause_s in before:
             now_s += pause_s
@@ -216,18 +216,18 @@
 @then("a worker whose trials are 9 s apart returns within a minute of being well")
 def then_returns(context):
     bad, good = Incarnation("bad"), Incarnation("good")
-    seen, judgement = {bad: Counts(), good: Counts()}, Judgement()
+    seen, judgement = {bad: DecayingCounts(), good: DecayingCounts()}, OutlierDetector()
     for _ in range(4):
-        seen[bad].add(SeenOutcome.FAILED, 0.01, now_s=0.0)
-        seen[good].add(SeenOutcome.SERVED, 0.1, now_s=0.0)
-    judgement.judge("s", seen, now_s=0.0)
-    assert judgement.is_set_aside(bad)
+        seen[bad].add(ObservedOutcome.FAILED, 0.01, now_s=0.0)
+        seen[good].add(ObservedOutcome.SERVED, 0.1, now_s=0.0)
+    judgement.update("s", seen, now_s=0.0)
+    assert judgement.is_ejected(bad)
     now_s = 0.0
-    while judgement.is_set_aside(bad):
+    while judgement.is_ejected(bad):
         now_s += 9.0
         assert now_s <= 60.0, "still set aside"
-        seen[good].add(SeenOutcome.SERVED, 0.1, now_s)
-        judgement.judge("s", seen, now_s)
-        if judgement.may_try(bad, now_s):
-            seen[bad].add(SeenOutcome.SERVED, 0.1, now_s)
-        judgement.judge("s", seen, now_s)
+        seen[good].add(ObservedOutcome.SERVED, 0.1, now_s)
+        judgement.update("s", seen, now_s)
+        if judgement.may_probe(bad, now_s):
+            seen[bad].add(ObservedOutcome.SERVED, 0.1, now_s)
+        judgement.update("s", seen, now_s)
--- a/features/steps/hosted_room_gateway_steps.py
+++ b/features/steps/hosted_room_gateway_steps.py
@@ -10,7 +10,7 @@
 from bellweir.explanation.cause import explain
 from bellweir.explanation.lines import read_lines
 from bellweir.hosted.settings import RoomSettings
-from bellweir.hosted.sight.interface import WorkerSeen
+from bellweir.hosted.sight.interface import WorkerStats
 from bellweir.hosted.sight.worker_load import WorkerLoad
 from bellweir_rehearsal.hosted.worker import WorkerStandIn
 
@@ -45,7 +45,7 @@
 def see(context, in_hand, names="ab", age_s=0.05, **more):
     for name in names:
         incarnation = context.gateway.workers.worker(f"i-{name}").incarnation
-        context.gateway.known_workers.told[incarnation] = WorkerSeen(
+        context.gateway.known_workers.told[incarnation] = WorkerStats(
             incarnation, in_hand, USUAL_S, USUAL_S, age_s, **more
         )
 
@@ -78,7 +78,7 @@
 
 @given_step("one worker without any is set aside")
 def given_set_aside(context):
-    see(context, 0, "a", is_set_aside=True)
+    see(context, 0, "a", is_ejected=True)
 
 
 @given_step("each of them said {before:d} ms ago that it had {number:d}")
@@ -144,7 +144,7 @@
 
 @then("it waits at the gateway")
 def then_waits(context):
-    context.wait_until(lambda: context.gateway.gate.waiting() == 1, "a request that waits")
+    context.wait_until(lambda: context.gateway.gate.queue_length() == 1, "a request that waits")
 
 
 @then("nothing waits any more, and no worker ran it")
@@ -155,7 +155,7 @@
         ),
         "the end of a request whose client left",
     )
-    assert context.gateway.gate.waiting() == 0
+    assert context.gateway.gate.queue_length() == 0
     assert ran(context, context.request_id) == 0
 
 
--- a/features/steps/hosted_room_steps.py
+++ b/features/steps/hosted_room_steps.py
@@ -7,30 +7,30 @@
 from behave import given as given_step
 from behave import then
 from features.support.room_replay import Replay, burst
-from features.support.room_ways import DeficitRoundRobin, FromQueue
+from features.support.room_ways import AppointmentRetryAfter, DeficitRoundRobin
 from hypothesis import given, settings
 
-from bellweir.hosted.queueing.admissions import Admissions
-from bellweir.hosted.queueing.interface import Outlook, Release, Waiting
-from bellweir.hosted.queueing.return_times import FromRates
+from bellweir.hosted.queueing.admission_queue import AdmissionQueue
+from bellweir.hosted.queueing.interface import CapacityEstimate, QueuedRequest, ReleaseCause
+from bellweir.hosted.queueing.retry_after import RateBasedRetryAfter
 from bellweir.hosted.queueing.shares import RecentShares
-from bellweir.hosted.queueing.start_time_fair import StartTimeFair
-from bellweir.hosted.room.interface import Need, Verdict, WorkerRoom
-from bellweir.hosted.room.judge import TAKEN_SHARE, ExpectedTimes
+from bellweir.hosted.queueing.start_time_fair import StartTimeFairQueueing
+from bellweir.hosted.room.interface import AdmissionAction, TimeLimits, WorkerCapacity
+from bellweir.hosted.room.policy import MIN_UTILIZATION, ExpectedLatencyPolicy
 
 USUAL_S = 0.0375
 HALF_SLOW = (USUAL_S, USUAL_S, 8 * USUAL_S, 8 * USUAL_S)
 LARGE = {"large": 0.8} | {f"small-{number}": 0.02 for number in range(10)}
 IN_TIME = ("in_time", "in_time_after_refusal")
-ORDERS = (StartTimeFair, DeficitRoundRobin)
+ORDERS = (StartTimeFairQueueing, DeficitRoundRobin)
 BOUND = 16
-FULL = [WorkerRoom(6, 30, 0.04)]
-EMPTY = [WorkerRoom(6, 0, 0.04)]
+FULL = [WorkerCapacity(6, 30, 0.04)]
+EMPTY = [WorkerCapacity(6, 0, 0.04)]
 
 rooms = st.lists(
-    st.builds(WorkerRoom, st.integers(1, 16), st.integers(0, 200), st.floats(0, 5)), max_size=6
+    st.builds(WorkerCapacity, st.integers(1, 16), st.integers(0, 200), st.floats(0, 5)), max_size=6
 )
-needs = st.builds(Need, st.floats(0, 10), st.floats(0, 2), st.floats(0, 0.5))
+needs = st.builds(TimeLimits, st.floats(0, 10), st.floats(0, 2), st.floats(0, 0.5))
 arrivals = st.lists(
     st.tuples(st.sampled_from("abcd"), st.integers(0, 3), st.floats(0.01, 0.2)),
     min_size=1,
@@ -38,11 +38,13 @@
 )
 
 
-def play(context, order=StartTimeFair, reserve=True, **switches):
-    kept = [FromRates(random.Random(3).random) for _ in range(getattr(context, "gateways", 4))]
-    judge = ExpectedTimes(**switches)
+def play(context, discipline=StartTimeFairQueueing, reserve=True, **switches):
+    kept = [
+        RateBasedRetryAfter(random.Random(3).random) for _ in range(getattr(context, "gateways", 4))
+    ]
+    policy = ExpectedLatencyPolicy(**switches)
     more = {"gateways": len(kept), "sight_age_s": getattr(context, "sight_age_s", 0.1)}
-    replay = Replay(judge, order, kept.__getitem__, context.times_s, reserve=reserve, **more)
+    replay = Replay(policy, discipline, kept.__getitem__, context.times_s, reserve=reserve, **more)
     found = replay.run(context.arrivals)
     assert sum(found.values()) == len(context.arrivals), "a client has no end"
     return replay, found
@@ -61,8 +63,8 @@
     return tenant != "large"
 
 
-def waiting(number, tenant="", priority=5, arrived_s=0.0, wait_s=0.025, **more):
-    return Waiting(
+def queued_request(number, tenant="", priority=5, arrived_s=0.0, wait_s=0.025, **more):
+    return QueuedRequest(
         f"r{number}",
         tenant,
         priority,
@@ -106,21 +108,24 @@
 
 @then("a request starts while a worker has room, is unknown, or there is no worker at all")
 def then_starts(context):
-    judge, need = ExpectedTimes(), Need(1.5, 0.2, 0.025)
-    unknown = WorkerRoom(6, 90, 0.0)
+    policy, limits = ExpectedLatencyPolicy(), TimeLimits(1.5, 0.2, 0.025)
+    unknown = WorkerCapacity(6, 90, 0.0)
     for workers in ([], EMPTY, [*FULL, *EMPTY], [*FULL, unknown]):
-        assert judge.judge(workers, need).verdict is Verdict.START, workers
+        assert policy.decide(workers, limits).action is AdmissionAction.START, workers
 
 
 @then("nobody is refused while under half of the slots are taken")
 def then_not_refused(context):
     @settings(max_examples=300, derandomize=True, deadline=None)
     @given(rooms, needs, st.integers(0, 20))
-    def holds(workers, need, ahead):
-        found = ExpectedTimes().judge(workers, need, ahead)
-        taken, slots = sum(each.in_hand for each in workers) + ahead, sum(w.slots for w in workers)
-        if found.verdict is Verdict.REFUSE:
-            assert taken >= TAKEN_SHARE * slots > 0
+    def holds(workers, limits, ahead):
+        found = ExpectedLatencyPolicy().decide(workers, limits, ahead)
+        occupied, slots = (
+            sum(each.in_flight for each in workers) + ahead,
+            sum(w.slots for w in workers),
+        )
+        if found.action is AdmissionAction.REFUSE:
+            assert occupied >= MIN_UTILIZATION * slots > 0
 
     holds()
 
@@ -143,7 +148,7 @@
 
 @then("no more waited than the queue may hold")
 def then_bounded(context):
-    assert 0 < context.replay.longest_line <= 64, context.replay.longest_line
+    assert 0 < context.replay.longest_queue <= 64, context.replay.longest_queue
 
 
 @then("small tenants are served in time more often than the large one")
@@ -183,50 +188,52 @@
 def then_shares(context):
     alone, equals, flooded = RecentShares(), RecentShares(), RecentShares()
     for number in range(100):
-        alone.came(waiting(number), 0.01 * number)
-        equals.came(waiting(number, "abcd"[number % 4]), 0.01 * number)
-        flooded.came(waiting(number, "abcdaaaa"[number % 8]), 0.01 * number)
-    assert not alone.is_beyond(waiting(0))
-    assert not any(equals.is_beyond(waiting(0, name)) for name in "abcd")
-    assert [name for name in "abcd" if flooded.is_beyond(waiting(0, name))] == ["a"]
+        alone.record(queued_request(number), 0.01 * number)
+        equals.record(queued_request(number, "abcd"[number % 4]), 0.01 * number)
+        flooded.record(queued_request(number, "abcdaaaa"[number % 8]), 0.01 * number)
+    assert not alone.exceeds_share(queued_request(0))
+    assert not any(equals.exceeds_share(queued_request(0, name)) for name in "abcd")
+    assert [name for name in "abcd" if flooded.exceeds_share(queued_request(0, name))] == ["a"]
     for number in range(100):
-        flooded.came(waiting(number, "abcd"[number % 4]), 5.0 + 0.01 * number)
-    assert not flooded.is_beyond(waiting(0, "a")), "a flood is held against its tenant for ever"
+        flooded.record(queued_request(number, "abcd"[number % 4]), 5.0 + 0.01 * number)
+    assert not flooded.exceeds_share(queued_request(0, "a")), (
+        "a flood is held against its tenant for ever"
+    )
 
 
 @then("requests neither wait nor are refused by the queue")
 def then_without_workers(context):
-    line = Admissions(ExpectedTimes(), StartTimeFair(), BOUND)
-    judgement, _ = line.ask(waiting(1), [], 0.0)
-    assert judgement.verdict is Verdict.START, "nobody is there to be waited for"
+    queue = AdmissionQueue(ExpectedLatencyPolicy(), StartTimeFairQueueing(), BOUND)
+    decision, _ = queue.submit(queued_request(1), [], 0.0)
+    assert decision.action is AdmissionAction.START, "nobody is there to be waited for"
 
 
 @then("their clients are told when to come back")
 def then_told(context):
-    outlook = Outlook.of([], 0.2, 0, 0.0)
-    for way in (FromRates(), FromQueue()):
-        assert 0 < way.after_s("cards", outlook, 1.5, 1.0, 0.0) <= 0.5
+    estimate = CapacityEstimate.from_workers([], 0.2, 0, 0.0)
+    for way in (RateBasedRetryAfter(), AppointmentRetryAfter()):
+        assert 0 < way.retry_after_s("cards", estimate, 1.5, 1.0, 0.0) <= 0.5
 
 
 @then("whatever comes and goes, the most urgent go first and no tenant is passed over for long")
 def then_ordered(context):
     @settings(max_examples=200, derandomize=True, deadline=None)
     @given(arrivals, st.sampled_from(ORDERS))
-    def holds(came, order_of):
-        order = order_of()
-        for number, (tenant, priority, _) in enumerate(came):
-            order.push(waiting(number, tenant, priority))
+    def holds(arriving, order_of):
+        discipline = order_of()
+        for number, (tenant, priority, _) in enumerate(arriving):
+            discipline.push(queued_request(number, tenant, priority))
         passed_over = Counter()
-        while (first := order.peek()) is not None:
-            equals = [each for each in order.all() if each.priority == first.priority]
-            assert first.priority == min(each.priority for each in order.all())
+        while (first := discipline.peek()) is not None:
+            equals = [each for each in discipline.all() if each.priority == first.priority]
+            assert first.priority == min(each.priority for each in discipline.all())
             own = [each for each in equals if each.tenant == first.tenant]
             assert own[0] is first, "a tenant's own requests changed places"
             for tenant in {each.tenant for each in equals}:
                 passed_over[tenant, first.priority] += 1
             passed_over[first.tenant, first.priority] = 0
             assert max(passed_over.values()) <= 2 * len("abcd"), "a tenant waits too long"
-            assert order.remove(first, served=True)
+            assert discipline.remove(first, served=True)
 
     holds()
 
@@ -235,63 +242,65 @@
 def then_queue_bounded(context):
     @settings(max_examples=200, derandomize=True, deadline=None)
     @given(arrivals, st.sampled_from(ORDERS), st.integers(0, 40))
-    def holds(came, order_of, in_hand):
-        line, now_s = Admissions(ExpectedTimes(), order_of(), BOUND), 0.0
-        workers = [WorkerRoom(6, in_hand, 0.04)]
+    def holds(arriving, order_of, in_flight):
+        queue, now_s = AdmissionQueue(ExpectedLatencyPolicy(), order_of(), BOUND), 0.0
+        workers = [WorkerCapacity(6, in_flight, 0.04)]
         inside, ended = [], []
-        for number, (tenant, priority, wait_s) in enumerate(came):
+        for number, (tenant, priority, wait_s) in enumerate(arriving):
             now_s += 0.001
-            asked = waiting(number, tenant, priority, now_s, wait_s)
-            judgement, displaced = line.ask(asked, workers, now_s)
-            (inside if judgement.verdict is Verdict.WAIT else ended).append(asked)
+            asked = queued_request(number, tenant, priority, now_s, wait_s)
+            decision, displaced = queue.submit(asked, workers, now_s)
+            (inside if decision.action is AdmissionAction.WAIT else ended).append(asked)
             if displaced is not None:
                 inside.remove(displaced)
                 ended.append(displaced)
-            assert len(line) == len(inside) <= BOUND
-        for released in line.look(workers, now_s + 0.5):
-            inside.remove(released.waiting)
-            ended.append(released.waiting)
+            assert len(queue) == len(inside) <= BOUND
+        for released in queue.release_ready(workers, now_s + 0.5):
+            inside.remove(released.request)
+            ended.append(released.request)
         assert not inside, "one waits beyond its time"
-        assert len(line) == 0, "the queue holds one that was let go"
-        assert len({id(each) for each in ended}) == len(came), "one has two ends"
+        assert len(queue) == 0, "the queue holds one that was let go"
+        assert len({id(each) for each in ended}) == len(arriving), "one has two ends"
 
     holds()
 
 
 @then("one whose deadline can't be met any more is refused before its deadline")
 def then_hopeless(context):
-    line = Admissions(ExpectedTimes(sheds=False), StartTimeFair(), BOUND)
-    asked = waiting(1, deadline_s=0.5)
-    judgement, _ = line.ask(asked, [WorkerRoom(6, 24, 0.04)], 0.0)
-    assert judgement.verdict is Verdict.WAIT, judgement.verdict
-    (released,) = line.look([WorkerRoom(6, 120, 0.04)], 0.01)
-    assert released.waiting is asked
-    assert released.release is Release.HOPELESS
+    queue = AdmissionQueue(ExpectedLatencyPolicy(sheds=False), StartTimeFairQueueing(), BOUND)
+    asked = queued_request(1, deadline_s=0.5)
+    decision, _ = queue.submit(asked, [WorkerCapacity(6, 24, 0.04)], 0.0)
+    assert decision.action is AdmissionAction.WAIT, decision.action
+    (released,) = queue.release_ready([WorkerCapacity(6, 120, 0.04)], 0.01)
+    assert released.request is asked
+    assert released.cause is ReleaseCause.HOPELESS
 
 
 @then("a time to come back is at most a third of what the client has left")
 def then_a_third(context):
     @settings(max_examples=200, derandomize=True, deadline=None)
     @given(rooms, st.floats(0, 10), st.floats(0, 1), st.integers(0, 40))
-    def holds(workers, left_s, left_share, number):
-        outlook = Outlook.of(workers, 0.2, number, 1.0)
-        for way in (FromRates(), FromQueue()):
+    def holds(workers, remaining_s, remaining_share, number):
+        estimate = CapacityEstimate.from_workers(workers, 0.2, number, 1.0)
+        for way in (RateBasedRetryAfter(), AppointmentRetryAfter()):
             for _ in range(3):
-                after_s = way.after_s("cards", outlook, left_s, left_share, 5.0)
-                assert 0 <= after_s <= left_s / 3 + 1e-9
+                retry_after_s = way.retry_after_s(
+                    "cards", estimate, remaining_s, remaining_share, 5.0
+                )
+                assert 0 <= retry_after_s <= remaining_s / 3 + 1e-9
 
     holds()
 
 
 @then("clients that have least time left come back first, and not all at once")
 def then_spread(context):
-    outlook = Outlook.of([WorkerRoom(6, 30, 0.04)] * 4, 0.1, 10, 5.0)
-    rates = FromRates(lambda: 0.5)
-    times = [rates.after_s("cards", outlook, 9.0, left / 10, 0.0) for left in range(11)]
+    estimate = CapacityEstimate.from_workers([WorkerCapacity(6, 30, 0.04)] * 4, 0.1, 10, 5.0)
+    rates = RateBasedRetryAfter(lambda: 0.5)
+    times = [rates.retry_after_s("cards", estimate, 9.0, left / 10, 0.0) for left in range(11)]
     assert times == sorted(times), times
     assert times[0] < times[-1], times
-    drawn = FromRates(random.Random(1).random)
-    assert len({drawn.after_s("cards", outlook, 9.0, 0.5, 0.0) for _ in range(20)}) == 20
-    queue = FromQueue()
-    booked = [queue.after_s("cards", outlook, 9.0, 0.5, 0.0) for _ in range(20)]
+    drawn = RateBasedRetryAfter(random.Random(1).random)
+    assert len({drawn.retry_after_s("cards", estimate, 9.0, 0.5, 0.0) for _ in range(20)}) == 20
+    queue = AppointmentRetryAfter()
+    booked = [queue.retry_after_s("cards", estimate, 9.0, 0.5, 0.0) for _ in range(20)]
     assert booked == sorted(set(booked)), booked
--- a/features/steps/hosted_sight_steps.py
+++ b/features/steps/hosted_sight_steps.py
@@ -11,12 +11,12 @@
 
 from bellweir.hosted.incarnation import Incarnation
 from bellweir.hosted.log_events import SIGHT_ALONE, SIGHT_SHARED
-from bellweir.hosted.sight import shared
-from bellweir.hosted.sight.exchange import ALONE_AFTER_S, PERIOD_S
-from bellweir.hosted.sight.fellows import rounds_to_all
-from bellweir.hosted.sight.interface import SeenOutcome
-from bellweir.hosted.sight.shared import SharedSight
-from bellweir.hosted.sight.table import IN_HAND_LIFE_S, SightTable
+from bellweir.hosted.sight import monitor
+from bellweir.hosted.sight.exchange import GOSSIP_INTERVAL_S, ISOLATED_AFTER_S
+from bellweir.hosted.sight.gossip_ring import rounds_to_all
+from bellweir.hosted.sight.interface import ObservedOutcome
+from bellweir.hosted.sight.monitor import SharedWorkerMonitor
+from bellweir.hosted.sight.table import IN_FLIGHT_MAX_AGE_S, ObservationTable
 from bellweir.hosted.sight.worker_load import WorkerLoad
 
 WORKERS = [Incarnation("i-0"), Incarnation("i-1", 5)]
@@ -49,20 +49,20 @@
 
     def _table(self, node):
         self.starts += 1
-        return SightTable(f"g-{node}", f"z-{node % 2}", 1_000_000 * self.starts)
+        return ObservationTable(f"g-{node}", f"z-{node % 2}", 1_000_000 * self.starts)
 
     def step(self, kind, first, second):
         match kind:
             case "see":
                 worker = WORKERS[second]
-                self.tables[first].begun(worker, self.now_s)
-                self.tables[first].ended(worker, SeenOutcome.SERVED, 0.1, self.now_s)
+                self.tables[first].record_start(worker, self.now_s)
+                self.tables[first].record_end(worker, ObservedOutcome.SERVED, 0.1, self.now_s)
                 self.seen[first, worker] = self.seen.get((first, worker), 0) + 1
             case "tell":
-                self.bag += self.tables[first].to_tell(self.now_s, 2, to_other_zone=second)
+                self.bag += self.tables[first].next_records(self.now_s, 2, to_other_zone=second)
             case "deliver" if self.bag:
                 record = self.bag[second % len(self.bag)]
-                self.tables[first].take(record, "z-0", self.now_s, 2)
+                self.tables[first].receive(record, "z-0", self.now_s, 2)
             case "lose" if self.bag:
                 self.bag.pop(first % len(self.bag))
             case "restart":
@@ -101,12 +101,12 @@
             for which in range(len(WORKERS)):
                 model.step("see", node, which)
         for table in model.tables:
-            records = table.to_tell(model.now_s, 2)
+            records = table.next_records(model.now_s, 2)
             own = [each for each in records if each.origin == table._node]
             assert {each.incarnation for each in own} == set(WORKERS)
             for other in model.tables:
                 for record in own:
-                    other.take(record, None, model.now_s, 2)
+                    other.receive(record, None, model.now_s, 2)
         for worker in WORKERS:
             found = [table.merged(worker, model.now_s).served for table in model.tables]
             assert max(found) - min(found) <= 2 * NODES * ROUNDING, found
@@ -129,7 +129,7 @@
 @when("one of them sees a worker fail")
 def when_sees(context):
     context.worker = context.network.workers[0]
-    context.network.gateways["g-0"].see(context.worker, SeenOutcome.FAILED)
+    context.network.gateways["g-0"].see(context.worker, ObservedOutcome.FAILED)
 
 
 @when("{rounds:d} rounds pass")
@@ -182,7 +182,7 @@
     for number, one in enumerate(network.all()):
         worker = network.workers[number % workers]
         failed = worker == context.bad
-        outcome = SeenOutcome.FAILED if failed else SeenOutcome.SERVED
+        outcome = ObservedOutcome.FAILED if failed else ObservedOutcome.SERVED
         one.see(worker, outcome, 0.001 if failed else 0.1)
 
 
@@ -194,7 +194,7 @@
 @then("every gateway has set it aside, and no other worker")
 def then_set_aside(context):
     for one in context.network.all():
-        aside = {each for each in context.network.workers if one.sight.seen(each).is_set_aside}
+        aside = {each for each in context.network.workers if one.monitor.stats(each).is_ejected}
         assert aside == {context.bad}, (one.transport.node, aside)
 
 
@@ -206,9 +206,9 @@
     network = context.network
     context.worker = network.workers[0]
     for one in network.all():
-        one.sight.begun(SERVICE, context.worker)
+        one.monitor.record_start(SERVICE, context.worker)
     network.run(rounds_that_tell_all(context))
-    found = [one.sight.seen(context.worker).in_hand for one in network.all()]
+    found = [one.monitor.stats(context.worker).in_flight for one in network.all()]
     assert all(1.0 < count <= gateways for count in found), found
 
 
@@ -217,30 +217,30 @@
     context.cut = context.network.gateways["g-0"]
     context.network.cut = {"g-0"}
     context.events = []
-    with mock.patch.object(shared, "emit", lambda event, **_fields: context.events.append(event)):
-        for _ in range(math.ceil(2 * (IN_HAND_LIFE_S + ALONE_AFTER_S) / PERIOD_S)):
-            context.cut.see(context.network.workers[1], SeenOutcome.SERVED, 0.1)
+    with mock.patch.object(monitor, "emit", lambda event, **_fields: context.events.append(event)):
+        for _ in range(math.ceil(2 * (IN_FLIGHT_MAX_AGE_S + ISOLATED_AFTER_S) / GOSSIP_INTERVAL_S)):
+            context.cut.see(context.network.workers[1], ObservedOutcome.SERVED, 0.1)
             context.network.run(1)
 
 
 @then("it says that it is alone, and counts nothing in hand elsewhere")
 def then_alone(context):
-    assert context.cut.sight.is_alone
+    assert context.cut.monitor.is_isolated
     assert SIGHT_ALONE in context.events
-    assert context.cut.sight.seen(context.worker).in_hand == 1
-    assert not context.network.gateways["g-2"].sight.is_alone
+    assert context.cut.monitor.stats(context.worker).in_flight == 1
+    assert not context.network.gateways["g-2"].monitor.is_isolated
 
 
 @then("it says that it is no longer so once it hears others again")
 def then_shared(context):
     context.network.cut = set()
-    with mock.patch.object(shared, "emit", lambda event, **_fields: context.events.append(event)):
+    with mock.patch.object(monitor, "emit", lambda event, **_fields: context.events.append(event)):
         for _ in range(20):
             for one in context.network.all():
-                one.see(context.network.workers[1], SeenOutcome.SERVED, 0.1)
+                one.see(context.network.workers[1], ObservedOutcome.SERVED, 0.1)
             context.network.run(1)
     assert SIGHT_SHARED in context.events
-    assert not context.cut.sight.is_alone
+    assert not context.cut.monitor.is_isolated
 
 
 @then(
@@ -249,8 +249,8 @@
 )
 def then_older(context):
     network = context.network
-    for _ in range(round(29 / PERIOD_S)):
-        network.gateways["g-0"].see(context.worker, SeenOutcome.FAILED)
+    for _ in range(round(29 / GOSSIP_INTERVAL_S)):
+        network.gateways["g-0"].see(context.worker, ObservedOutcome.FAILED)
         network.run(1)
     speakers = [one for name, one in network.gateways.items() if name not in network.older]
     assert all(have_heard(context, speakers))
@@ -263,32 +263,34 @@
 def when_load(context):
     context.worker = context.network.workers[0]
     first = context.network.gateways["g-0"]
-    first.sight.load_told(context.worker, WorkerLoad(5, 2, 6, 300))
-    first.see(context.worker, SeenOutcome.SERVED, 0.1)
-    context.told_s = context.network.now_s
+    first.monitor.record_load(context.worker, WorkerLoad(5, 2, 6, 300))
+    first.see(context.worker, ObservedOutcome.SERVED, 0.1)
+    context.last_report_s = context.network.now_s
 
 
 @then("all know the load after the rounds that tell all, as old as it is")
 def then_load_known(context):
     context.network.run(rounds_that_tell_all(context))
-    age_s = context.network.now_s - context.told_s
+    age_s = context.network.now_s - context.last_report_s
     for one in context.network.all():
-        seen = one.sight.seen(context.worker)
+        seen = one.monitor.stats(context.worker)
         assert (seen.load.requests, seen.load.slots, seen.load.pace) == (7, 6, 300)
         assert abs(seen.load_age_s - age_s) < 0.05, (seen.load_age_s, age_s)
 
 
 def lone_sight(**switches):
-    table = SightTable("g-0", "z-0", 1)
-    return SharedSight(table, lambda: {SERVICE: WORKERS}, now_s=lambda: 0.0, **switches)
+    table = ObservationTable("g-0", "z-0", 1)
+    return SharedWorkerMonitor(table, lambda: {SERVICE: WORKERS}, now_s=lambda: 0.0, **switches)
 
 
 def see_one_fail(sight, times=20):
     for _ in range(times):
-        for worker, outcome in zip(WORKERS, (SeenOutcome.FAILED, SeenOutcome.SERVED), strict=True):
-            sight.begun_again(SERVICE, worker)
-            sight.ended(worker, outcome, 0.1)
-    sight.look()
+        for worker, outcome in zip(
+            WORKERS, (ObservedOutcome.FAILED, ObservedOutcome.SERVED), strict=True
+        ):
+            sight.record_retry(SERVICE, worker)
+            sight.record_end(worker, outcome, 0.1)
+    sight.refresh()
 
 
 @then("a sight that sets nobody aside does not, whatever fails")
@@ -296,7 +298,7 @@
     for sets_aside in (True, False):
         sight = lone_sight(sets_aside=sets_aside)
         see_one_fail(sight)
-        assert sight.seen(WORKERS[0]).is_set_aside == sets_aside
+        assert sight.stats(WORKERS[0]).is_ejected == sets_aside
 
 
 @then("a sight without a bound allows any number of further tries")
@@ -304,13 +306,13 @@
     for share in (0.5, 0.0):
         sight = lone_sight(try_share=share)
         see_one_fail(sight)
-        assert sight.may_try_again(SERVICE) == (share == 0.0)
+        assert sight.may_retry(SERVICE) == (share == 0.0)
 
 
 @then("a sight that does not use workers' own load knows none")
 def then_no_load(context):
     for uses in (True, False):
         sight = lone_sight(uses_worker_load=uses)
-        sight.load_told(WORKERS[0], WorkerLoad(1, 0, 4))
+        sight.record_load(WORKERS[0], WorkerLoad(1, 0, 4))
         see_one_fail(sight, 1)
-        assert (sight.seen(WORKERS[0]).load is not None) == uses
+        assert (sight.stats(WORKERS[0]).load is not None) == uses
--- a/features/support/hosted_gateway.py
+++ b/features/support/hosted_gateway.py
@@ -10,7 +10,7 @@
 
 from bellweir.hosted.interface import Listing, StoredRecord
 from bellweir.hosted.queueing.gate import RequestGate
-from bellweir.hosted.room.observed import ObservedRoom
+from bellweir.hosted.room.observed import ObservedCapacity
 from bellweir.hosted.serving.application import RequestApplication
 from bellweir.hosted.serving.attempt import WorkerConnections
 from bellweir.hosted.serving.forwarding import Forwarder
@@ -18,7 +18,7 @@
 from bellweir.hosted.serving.selection import WorkerLoads
 from bellweir.hosted.serving.streams import StreamForwarder
 from bellweir.hosted.settings import RoomSettings
-from bellweir.hosted.sight.interface import WorkerSeen
+from bellweir.hosted.sight.interface import WorkerStats
 from bellweir.hosted.tenants.admission import KeyCheck
 from bellweir.hosted.usage.counter import UsageCounter
 from bellweir.hosted.usage.true_time import TrueTime
@@ -68,8 +68,8 @@
     def __init__(self):
         self.told = {}
 
-    def seen(self, incarnation):
-        return self.told.get(incarnation, WorkerSeen(incarnation))
+    def stats(self, incarnation):
+        return self.told.get(incarnation, WorkerStats(incarnation))
 
 
 class GatewayUnderTest:
@@ -82,7 +82,7 @@
         self.show_workers({worker.instance: worker.entry("app") for worker in workers})
         self.loads = WorkerLoads("a", sight=sight)
         connections = self._connections = (
-            WorkerConnections(HEADERS, sight.load_told) if sight else WorkerConnections(HEADERS)
+            WorkerConnections(HEADERS, sight.record_load) if sight else WorkerConnections(HEADERS)
         )
         self.workers.subscribe_addresses(connections.renew)
         self.caller_watch = CallerWatch(self.executors)
@@ -90,7 +90,7 @@
         self.metrics = RequestMetrics()
         self.usage = UsageCounter(USAGE_WINDOW_S, TrueTime())
         self.known_workers = WorkersSeen()
-        room = ObservedRoom(self.loads.in_hand, self.loads.mean_s, sight or self.known_workers)
+        room = ObservedCapacity(self.loads.in_hand, self.loads.mean_s, sight or self.known_workers)
         self.room_settings = room_settings or RoomSettings()
         self.refused = []
         self.gate = RequestGate(room, self.room_settings, self.refused.append)
--- a/features/support/room_replay.py
+++ b/features/support/room_replay.py
@@ -9,11 +9,11 @@
 from collections import Counter
 from types import SimpleNamespace
 
-from bellweir.hosted.queueing.admissions import Admissions
-from bellweir.hosted.queueing.interface import Outlook, Release, Waiting
+from bellweir.hosted.queueing.admission_queue import AdmissionQueue
+from bellweir.hosted.queueing.interface import CapacityEstimate, QueuedRequest, ReleaseCause
 from bellweir.hosted.queueing.shares import RecentShares
-from bellweir.hosted.room.interface import Verdict, WorkerRoom
-from bellweir.hosted.room.observed import FRESH_SHARE
+from bellweir.hosted.room.interface import AdmissionAction, WorkerCapacity
+from bellweir.hosted.room.observed import FRESH_TARGET_SHARE
 
 WORKER_QUEUE = 24
 TICK_S = 0.005
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        judge,
+        policy,
         make_order,
         return_times,
         times_s,
@@ -37,23 +37,23 @@
         retries=1,
         slots=6,
         sight_age_s=0.1,
-        longest=64,
+        max_length=64,
         reserve=True,
-        fresh_share=FRESH_SHARE,
+        fresh_share=FRESH_TARGET_SHARE,
     ):
-        self.judge, self.return_times, self.times_s = judge, return_times, times_s
+        self.policy, self.return_times, self.times_s = policy, return_times, times_s
         self.slots, self.retries, self.sight_age_s = slots, retries, sight_age_s
         self.target_s, self.deadline_s = target_s, deadline_s
-        self.lines = [
-            Admissions(judge, make_order(), longest, RecentShares() if reserve else None)
+        self.admission_queues = [
+            AdmissionQueue(policy, make_order(), max_length, RecentShares() if reserve else None)
             for _ in range(gateways)
         ]
-        self.in_hand = [0] * len(times_s)
+        self.in_flight = [0] * len(times_s)
         self.own = [[0] * len(times_s) for _ in range(gateways)]
         self.others = [[0] * len(times_s) for _ in range(gateways)]
-        self.queues = [[] for _ in times_s]
+        self.worker_queues = [[] for _ in times_s]
         self.running = [0] * len(times_s)
-        self.results, self.offered, self.longest_line = [], 0, 0
+        self.results, self.offered, self.longest_queue = [], 0, 0
         self.returns, self.started = [], []
         self.random = random.Random(5)
         self._events, self._number = [], itertools.count()
@@ -79,26 +79,26 @@
 
     def _share(self, now_s):
         self.others = [
-            [total - own for total, own in zip(self.in_hand, mine, strict=True)]
+            [total - own for total, own in zip(self.in_flight, mine, strict=True)]
             for mine in self.own
         ]
         self.shared_s = now_s
         self._at(now_s + self.sight_age_s, self._share)
 
-    def _room(self, gateway, now_s, oldest_s=float("inf")):
+    def _room(self, gateway, now_s, max_age_s=float("inf")):
         """As `room.observed` has it: the others' requests count while the word is fresh."""
         age_s = now_s - self.shared_s
-        is_fresh = age_s <= oldest_s
+        is_fresh = age_s <= max_age_s
         return [
-            WorkerRoom(self.slots, own + is_fresh * others, time_s, age_s if is_fresh else 0.0)
+            WorkerCapacity(self.slots, own + is_fresh * others, time_s, age_s if is_fresh else 0.0)
             for others, own, time_s in zip(
                 self.others[gateway], self.own[gateway], self.times_s, strict=True
             )
         ]
 
     def _arrive(self, now_s, client):
-        gateway = self.random.randrange(len(self.lines))
-        waiting = Waiting(
+        gateway = self.random.randrange(len(self.admission_queues))
+        request = QueuedRequest(
             str(next(self._number)),
             client.tenant,
             client.priority,
@@ -108,52 +108,52 @@
             cost_s=0.04,
             target_s=self.target_s,
         )
-        line = self.lines[gateway]
+        queue = self.admission_queues[gateway]
         client.tries += 1
-        self._ids[id(waiting)] = client, waiting
-        judgement, displaced = line.ask(waiting, self._room(gateway, now_s, self.fresh_s), now_s)
-        self.longest_line = max(self.longest_line, len(line))
+        self._ids[id(request)] = client, request
+        decision, displaced = queue.submit(request, self._room(gateway, now_s, self.fresh_s), now_s)
+        self.longest_queue = max(self.longest_queue, len(queue))
         if displaced is not None:
             self._refuse(now_s, gateway, self._ids[id(displaced)][0])
-        if judgement.verdict is Verdict.START:
+        if decision.action is AdmissionAction.START:
             self._offer(now_s, gateway, client)
-        elif judgement.verdict is Verdict.REFUSE:
+        elif decision.action is AdmissionAction.REFUSE:
             self._refuse(now_s, gateway, client)
         elif gateway not in self.looking:
             self.looking.add(gateway)
             self._at(now_s + TICK_S, self._look, gateway)
 
     def _look(self, now_s, gateway):
-        line = self.lines[gateway]
-        for released in line.look(self._room(gateway, now_s, self.fresh_s), now_s):
-            client = self._ids[id(released.waiting)][0]
-            if released.release in (Release.ROOM, Release.OVERDUE):
+        queue = self.admission_queues[gateway]
+        for released in queue.release_ready(self._room(gateway, now_s, self.fresh_s), now_s):
+            client = self._ids[id(released.request)][0]
+            if released.cause in (ReleaseCause.ROOM, ReleaseCause.OVERDUE):
                 self._offer(now_s, gateway, client)
             else:
                 self._refuse(now_s, gateway, client)
-        if len(line):
+        if len(queue):
             self._at(now_s + TICK_S, self._look, gateway)
         else:
             self.looking.discard(gateway)
 
     def _offer(self, now_s, gateway, client):
         """At the best worker; a full one refuses, and the others are tried in turn."""
-        self.lines[gateway].arrived()
+        self.admission_queues[gateway].dispatch_done()
         rooms = self._room(gateway, now_s)
         self.started.append((now_s, client.tenant))
-        for number in sorted(range(len(rooms)), key=lambda each: rooms[each].end_s()):
+        for number in sorted(range(len(rooms)), key=lambda each: rooms[each].completion_s()):
             self.offered += 1
-            if self.in_hand[number] < self.slots + WORKER_QUEUE:
-                self.in_hand[number] += 1
+            if self.in_flight[number] < self.slots + WORKER_QUEUE:
+                self.in_flight[number] += 1
                 self.own[gateway][number] += 1
                 client.offered = True
-                self.queues[number].append((gateway, client))
+                self.worker_queues[number].append((gateway, client))
                 return self._work(now_s, number)
         return self._refuse(now_s, gateway, client)
 
     def _work(self, now_s, number):
-        while self.queues[number] and self.running[number] < self.slots:
-            gateway, client = self.queues[number].pop(0)
+        while self.worker_queues[number] and self.running[number] < self.slots:
+            gateway, client = self.worker_queues[number].pop(0)
             if now_s >= client.began_s + self.deadline_s:
                 self._leave(number, gateway)
                 self._end(client, "lost")
@@ -163,7 +163,7 @@
             self._at(now_s + time_s, self._done, number, gateway, client)
 
     def _leave(self, number, gateway):
-        self.in_hand[number] -= 1
+        self.in_flight[number] -= 1
         self.own[gateway][number] -= 1
 
     def _done(self, now_s, number, gateway, client):
@@ -181,17 +181,17 @@
 
     def _refuse(self, now_s, gateway, client):
         assert not client.offered, "refused after it was offered and taken"
-        left_s = client.began_s + self.deadline_s - now_s
-        if client.tries > self.retries or left_s <= 0:
+        remaining_s = client.began_s + self.deadline_s - now_s
+        if client.tries > self.retries or remaining_s <= 0:
             return self._end(client, "refused")
         rooms = self._room(gateway, now_s)
-        line = self.lines[gateway]
+        queue = self.admission_queues[gateway]
         own = sum(self.own[gateway])
-        outlook = Outlook.of(rooms, self.target_s, len(line), own)
-        after_s = self.return_times(gateway).after_s(
-            "cards", outlook, left_s, left_s / self.deadline_s, now_s
+        estimate = CapacityEstimate.from_workers(rooms, self.target_s, len(queue), own)
+        retry_after_s = self.return_times(gateway).retry_after_s(
+            "cards", estimate, remaining_s, remaining_s / self.deadline_s, now_s
         )
-        client.came_back_s = now_s + min(after_s, HONOURED * left_s)
+        client.came_back_s = now_s + min(retry_after_s, HONOURED * remaining_s)
         self.returns.append(client.came_back_s)
         return self._at(client.came_back_s, self._arrive, client)
 
@@ -200,7 +200,14 @@
 
 
 def burst(
-    seed, rate_per_s, factor=14, from_s=2.0, length_s=10.0, end_s=16.0, tenants=None, urgent=()
+    seed,
+    rate_per_s,
+    factor=14,
+    from_s=2.0,
+    length_s=10.0,
+    end_s=16.0,
+    tenants=None,
+    urgent=(),
 ):
     """Arrivals at a rate, `factor` times as many for `length_s`; tenants by their shares.
 
--- a/features/support/room_ways.py
+++ b/features/support/room_ways.py
@@ -1,15 +1,15 @@
 """Ways to order and to call back that were weighed against those in use."""
 
-from bellweir.hosted.queueing.by_priority import ByPriority
-from bellweir.hosted.queueing.interface import Outlook, ReturnTimes, Waiting
-from bellweir.hosted.queueing.return_times import (
-    HONOURED_SHARE,
-    WITHOUT_FIGURES_S,
-    until_room_s,
+from bellweir.hosted.queueing.by_priority import PriorityDiscipline
+from bellweir.hosted.queueing.interface import CapacityEstimate, QueuedRequest, RetryAfterPolicy
+from bellweir.hosted.queueing.retry_after import (
+    MAX_REMAINING_SHARE,
+    UNKNOWN_RATE_S,
+    until_capacity_s,
 )
 
 
-class DeficitRoundRobin(ByPriority):
+class DeficitRoundRobin(PriorityDiscipline):
     """Each tenant that waits gets a quantum a turn, kept until its last request."""
 
     def __init__(self, quantum_s: float = 0.05) -> None:
@@ -20,17 +20,17 @@
         self._turns: list[tuple[int, str]] = []
         """Priorities and tenants that wait, in the order of their turns."""
 
-    def push(self, waiting: Waiting) -> None:
+    def push(self, request: QueuedRequest) -> None:
         """Add one."""
-        self._waiting.append(waiting)
-        key = (waiting.priority, waiting.tenant)
+        self._queue.append(request)
+        key = (request.priority, request.tenant)
         if key not in self._credit_s:
             self._credit_s[key] = 0.0
             self._turns.append(key)
 
-    def peek(self) -> Waiting | None:
+    def peek(self) -> QueuedRequest | None:
         """The oldest request of the tenant whose turn it is; gives turns until one can pay."""
-        oldest: dict[tuple[int, str], Waiting] = {}
+        oldest: dict[tuple[int, str], QueuedRequest] = {}
         for each in self._first_class():
             oldest.setdefault((each.priority, each.tenant), each)
         if not oldest:
@@ -42,25 +42,25 @@
             for key in oldest:
                 self._credit_s[key] += self._quantum_s
 
-    def remove(self, waiting: Waiting, *, served: bool) -> bool:
+    def remove(self, request: QueuedRequest, *, served: bool) -> bool:
         """Take one out; one that is served uses its tenant's credit up, and the turn goes on."""
-        if not self._take_out(waiting):
+        if not self._take_out(request):
             return False
-        key = (waiting.priority, waiting.tenant)
+        key = (request.priority, request.tenant)
         if served:
-            self._credit_s[key] = max(0.0, self._credit_s[key] - waiting.cost_s)
+            self._credit_s[key] = max(0.0, self._credit_s[key] - request.cost_s)
             self._turns.remove(key)
             self._turns.append(key)
-        if not any((each.priority, each.tenant) == key for each in self._waiting):
+        if not any((each.priority, each.tenant) == key for each in self._queue):
             del self._credit_s[key]
             self._turns.remove(key)
         return True
 
-    def charge(self, waiting: Waiting) -> None:
+    def charge(self, request: QueuedRequest) -> None:
         """Nothing: only those that wait take turns."""
 
 
-class FromQueue(ReturnTimes):
+class AppointmentRetryAfter(RetryAfterPolicy):
     """An appointment for each client: the first when there is room, each further one behind it.
 
     Between two lies the time in which a place gets free for this gateway's share.
@@ -69,13 +69,18 @@
     def __init__(self) -> None:
         self._next_s: dict[str, float] = {}
 
-    def after_s(
-        self, service: str, outlook: Outlook, left_s: float, left_share: float, now_s: float
+    def retry_after_s(
+        self,
+        service: str,
+        estimate: CapacityEstimate,
+        remaining_s: float,
+        remaining_share: float,
+        now_s: float,
     ) -> float:
         """Seconds after which to come back; those with least time left up to half a gap early."""
-        first_s = now_s + until_room_s(outlook)
+        first_s = now_s + until_capacity_s(estimate)
         at_s = max(first_s, self._next_s.get(service, 0.0))
-        rate = outlook.rate_per_s * outlook.own_share
-        gap_s = 1 / rate if rate > 0 else WITHOUT_FIGURES_S / 10
+        rate = estimate.service_rate_per_s * estimate.own_share
+        gap_s = 1 / rate if rate > 0 else UNKNOWN_RATE_S / 10
         self._next_s[service] = at_s + gap_s
-        return min(HONOURED_SHARE * left_s, at_s - now_s + gap_s * left_share / 2)
+        return min(MAX_REMAINING_SHARE * remaining_s, at_s - now_s + gap_s * remaining_share / 2)
--- a/features/support/sight_nodes.py
+++ b/features/support/sight_nodes.py
@@ -3,9 +3,9 @@
 from returns.result import Failure, Success
 
 from bellweir.hosted.incarnation import Incarnation
-from bellweir.hosted.sight.exchange import PERIOD_S, SightExchange
-from bellweir.hosted.sight.shared import SharedSight
-from bellweir.hosted.sight.table import SightTable
+from bellweir.hosted.sight.exchange import GOSSIP_INTERVAL_S, ObservationExchange
+from bellweir.hosted.sight.monitor import SharedWorkerMonitor
+from bellweir.hosted.sight.table import ObservationTable
 from bellweir.membership.interface import Member, Membership, MemberState
 from bellweir.wire.interface import Sender, Transport, WireError, WireErrorKind
 
@@ -71,20 +71,20 @@
 
         zone = network.members[node].zone
         self.transport = _Transport(node, network)
-        self.table = SightTable(node, zone, 1_000)
+        self.table = ObservationTable(node, zone, 1_000)
         membership = _Membership(node, network)
-        self.exchange = SightExchange(self.transport, membership, self.table, now_s)
-        self.sight = SharedSight(
+        self.exchange = ObservationExchange(self.transport, membership, self.table, now_s)
+        self.monitor = SharedWorkerMonitor(
             self.table,
             lambda: {SERVICE: network.workers},
-            lambda: self.exchange.is_alone,
+            lambda: self.exchange.is_isolated,
             now_s,
             try_share=network.try_share,
         )
 
     def see(self, worker, outcome, seconds=SPENT_S):
-        self.sight.begun(SERVICE, worker)
-        self.sight.ended(worker, outcome, seconds)
+        self.monitor.record_start(SERVICE, worker)
+        self.monitor.record_end(worker, outcome, seconds)
 
 
 class SightNetwork:
@@ -108,9 +108,9 @@
 
     def run(self, rounds):
         for _ in range(rounds):
-            self.now_s += PERIOD_S
+            self.now_s += GOSSIP_INTERVAL_S
             for gateway in self.all():
                 if gateway.transport.node not in self.older:
-                    gateway.exchange.tell()
+                    gateway.exchange.run_round()
             for gateway in self.all():
-                gateway.sight.look()
+                gateway.monitor.refresh()
--- a/src/bellweir/hosted/process.py
+++ b/src/bellweir/hosted/process.py
@@ -150,10 +150,10 @@
     """Constructors of a role's own services; a role imports only what it needs."""
     if role == GATEWAY_ROLE:
         from bellweir.hosted.serving.service import FrontService
-        from bellweir.hosted.sight.service import SightService
+        from bellweir.hosted.sight.service import WorkerMonitorService
         from bellweir.hosted.usage.sender import UsageCountsService
 
-        return (UsageCountsService, SightService, FrontService)
+        return (UsageCountsService, WorkerMonitorService, FrontService)
     from bellweir.hosted.batches.service import BatchService
     from bellweir.hosted.retirement import RetirementService
     from bellweir.hosted.scaling.service import ScalingService
--- a/src/bellweir/hosted/queueing/gate.py
+++ b/src/bellweir/hosted/queueing/gate.py
@@ -6,21 +6,26 @@
 
 from bellweir.events.log import emit
 from bellweir.hosted.log_events import REQUEST_QUEUED, REQUEST_REFUSED
-from bellweir.hosted.queueing.admissions import Admissions
-from bellweir.hosted.queueing.interface import Outlook, Release, Released, Waiting
-from bellweir.hosted.queueing.return_times import FromRates
+from bellweir.hosted.queueing.admission_queue import AdmissionQueue
+from bellweir.hosted.queueing.interface import (
+    CapacityEstimate,
+    QueuedRequest,
+    ReleaseCause,
+    ReleasedRequest,
+)
+from bellweir.hosted.queueing.retry_after import RateBasedRetryAfter
 from bellweir.hosted.queueing.shares import RecentShares
-from bellweir.hosted.queueing.start_time_fair import StartTimeFair
-from bellweir.hosted.room.interface import Judgement, Verdict
-from bellweir.hosted.room.judge import ExpectedTimes
-from bellweir.hosted.room.observed import ESTIMATE_S, FRESH_SHARE, ObservedRoom
+from bellweir.hosted.queueing.start_time_fair import StartTimeFairQueueing
+from bellweir.hosted.room.interface import AdmissionAction, AdmissionDecision
+from bellweir.hosted.room.observed import ESTIMATE_MAX_AGE_S, FRESH_TARGET_SHARE, ObservedCapacity
+from bellweir.hosted.room.policy import ExpectedLatencyPolicy
 from bellweir.hosted.settings import RoomSettings
 from bellweir.hosted.views.workers import Worker
 
-LOOK_S = 0.005
+CHECK_INTERVAL_S = 0.005
 """Pause between two looks of a request that waits: room that others see made is not told."""
-LONGEST_AGE_S = 1e6
-STARTS = frozenset({Release.ROOM, Release.OVERDUE})
+MAX_LOGGED_S = 1e6
+STARTS = frozenset({ReleaseCause.ROOM, ReleaseCause.OVERDUE})
 
 
 class _Ticket:
@@ -30,23 +35,23 @@
 
     def __init__(self) -> None:
         self.event = threading.Event()
-        self.released: Released | None = None
+        self.released: ReleasedRequest | None = None
 
 
-class _Line:
+class _ServiceQueue:
     """One service's requests; its lock is held over decisions only."""
 
-    __slots__ = ("admissions", "lock", "looked_s", "tickets")
+    __slots__ = ("admissions", "last_check_s", "lock", "tickets")
 
-    def __init__(self, admissions: Admissions) -> None:
+    def __init__(self, admissions: AdmissionQueue) -> None:
         self.admissions = admissions
         self.lock = threading.Lock()
         self.tickets: dict[int, _Ticket] = {}
-        self.looked_s = float("-inf")
+        self.last_check_s = float("-inf")
 
-    def let_go(self, released: Released) -> None:
+    def notify(self, released: ReleasedRequest) -> None:
         """Wake the thread of one that no longer waits."""
-        ticket = self.tickets.pop(id(released.waiting), None)
+        ticket = self.tickets.pop(id(released.request), None)
         if ticket is not None:
             ticket.released = released
             ticket.event.set()
@@ -57,164 +62,177 @@
 
     def __init__(
         self,
-        room: ObservedRoom,
+        capacity: ObservedCapacity,
         settings: RoomSettings,
         count_refused: Callable[[str], None] = lambda _cause: None,
         observe_wait: Callable[[str, float], None] = lambda _service, _seconds: None,
         now_s: Callable[[], float] = time.monotonic,
     ) -> None:
         """`count_refused` gets the cause of each refusal, `observe_wait` a service and a wait."""
-        self._room = room
+        self._capacity = capacity
         self._settings = settings
-        self._judge = ExpectedTimes(
+        self._policy = ExpectedLatencyPolicy(
             waits=settings.queue, refuses=settings.refuse_hopeless, sheds=settings.shed
         )
-        self._return_times = FromRates()
+        self._retry_after = RateBasedRetryAfter()
         self._count_refused = count_refused
         self._observe_wait = observe_wait
         self._now_s = now_s
         self._lock = threading.Lock()
-        self._lines: dict[str, _Line] = {}
+        self._queues: dict[str, _ServiceQueue] = {}
 
-    def waiting(self) -> int:
+    def queue_length(self) -> int:
         """Requests that wait now, of all services."""
         with self._lock:
-            lines = list(self._lines.values())
-        return sum(len(line.admissions) for line in lines)
+            queues = list(self._queues.values())
+        return sum(len(queue.admissions) for queue in queues)
 
     def admit(
         self,
         service: str,
-        waiting: Waiting,
+        request: QueuedRequest,
         workers: Sequence[Worker],
-        has_left: Callable[[], bool] = lambda: False,
+        is_cancelled: Callable[[], bool] = lambda: False,
     ) -> bool:
-        """Whether a request is to be offered to a worker; blocks at most until its `latest_s`.
+        """Whether a request is to be offered to a worker; blocks at most until its `wait_until_s`.
 
         After True, `arrived` is due as soon as a place at a worker is taken, or none can be.
         """
-        line = self._line(service)
+        queue = self._queue(service)
         now_s = self._now_s()
         ticket = _Ticket()
-        with line.lock:
-            rooms = self._room.of(workers, FRESH_SHARE * waiting.target_s)
-            judgement, displaced = line.admissions.ask(waiting, rooms, now_s)
-            if judgement.verdict is Verdict.WAIT:
-                line.tickets[id(waiting)] = ticket
+        with queue.lock:
+            capacities = self._capacity.for_workers(workers, FRESH_TARGET_SHARE * request.target_s)
+            decision, displaced = queue.admissions.submit(request, capacities, now_s)
+            if decision.action is AdmissionAction.WAIT:
+                queue.tickets[id(request)] = ticket
             if displaced is not None:
-                line.let_go(Released(displaced, Release.DISPLACED, judgement))
-        if judgement.verdict is Verdict.START:
+                queue.notify(ReleasedRequest(displaced, ReleaseCause.DISPLACED, decision))
+        if decision.action is AdmissionAction.START:
             return True
-        if judgement.verdict is Verdict.REFUSE:
-            self._refused(service, waiting, "at_once", judgement, 0.0)
+        if decision.action is AdmissionAction.REFUSE:
+            self._record_refusal(service, request, "at_once", decision, 0.0)
             return False
-        return self._wait(line, service, waiting, ticket, workers, has_left)
+        return self._wait(queue, service, request, ticket, workers, is_cancelled)
 
     def _wait(
         self,
-        line: _Line,
+        queue: _ServiceQueue,
         service: str,
-        waiting: Waiting,
+        request: QueuedRequest,
         ticket: _Ticket,
         workers: Sequence[Worker],
-        has_left: Callable[[], bool],
+        is_cancelled: Callable[[], bool],
     ) -> bool:
         try:
-            while not ticket.event.wait(LOOK_S):
-                with line.lock:
-                    if has_left() and line.admissions.leave(waiting):
-                        line.tickets.pop(id(waiting), None)
+            while not ticket.event.wait(CHECK_INTERVAL_S):
+                with queue.lock:
+                    if is_cancelled() and queue.admissions.cancel(request):
+                        queue.tickets.pop(id(request), None)
                         return False
-                    self._look(line, workers, FRESH_SHARE * waiting.target_s)
+                    self._look(queue, workers, FRESH_TARGET_SHARE * request.target_s)
         except BaseException:
-            with line.lock:
-                line.tickets.pop(id(waiting), None)
-                if not line.admissions.leave(waiting):
-                    line.admissions.arrived()
+            with queue.lock:
+                queue.tickets.pop(id(request), None)
+                if not queue.admissions.cancel(request):
+                    queue.admissions.dispatch_done()
             raise
-        waited_s = self._now_s() - waiting.arrived_s
+        waited_s = self._now_s() - request.arrived_s
         released = ticket.released
         if released is None:
             return False
         self._observe_wait(service, waited_s)
-        if released.release not in STARTS:
-            self._refused(service, waiting, released.release.value, released.judgement, waited_s)
+        if released.cause not in STARTS:
+            self._record_refusal(
+                service, request, released.cause.value, released.decision, waited_s
+            )
             return False
         emit(
             REQUEST_QUEUED,
-            request_id=waiting.request_id,
+            request_id=request.request_id,
             service=service,
-            tenant=waiting.tenant,
-            priority=waiting.priority,
-            release=released.release.value,
-            **_shown(released.judgement, waited_s),
+            tenant=request.tenant,
+            priority=request.priority,
+            release=released.cause.value,
+            **_log_fields(released.decision, waited_s),
         )
         return True
 
-    def _look(self, line: _Line, workers: Sequence[Worker], oldest_s: float) -> None:
+    def _look(self, queue: _ServiceQueue, workers: Sequence[Worker], max_age_s: float) -> None:
         """Look for the whole line; one of its threads does so in each pause, for all."""
         now_s = self._now_s()
-        if now_s - line.looked_s < LOOK_S:
+        if now_s - queue.last_check_s < CHECK_INTERVAL_S:
             return
-        line.looked_s = now_s
-        rooms = self._room.of(workers, oldest_s)
-        for released in line.admissions.look(rooms, self._now_s()):
-            line.let_go(released)
+        queue.last_check_s = now_s
+        capacities = self._capacity.for_workers(workers, max_age_s)
+        for released in queue.admissions.release_ready(capacities, self._now_s()):
+            queue.notify(released)
 
-    def _refused(
-        self, service: str, waiting: Waiting, why: str, judgement: Judgement, waited_s: float
+    def _record_refusal(
+        self,
+        service: str,
+        request: QueuedRequest,
+        cause: str,
+        decision: AdmissionDecision,
+        waited_s: float,
     ) -> None:
-        self._count_refused(why)
+        self._count_refused(cause)
         emit(
             REQUEST_REFUSED,
-            request_id=waiting.request_id,
+            request_id=request.request_id,
             service=service,
-            tenant=waiting.tenant,
-            priority=waiting.priority,
-            why=why,
-            left_ms=round(1000 * min(waiting.deadline_s - self._now_s(), LONGEST_AGE_S)),
-            target_ms=round(1000 * waiting.target_s),
-            **_shown(judgement, waited_s),
+            tenant=request.tenant,
+            priority=request.priority,
+            why=cause,
+            left_ms=round(1000 * min(request.deadline_s - self._now_s(), MAX_LOGGED_S)),
+            target_ms=round(1000 * request.target_s),
+            **_log_fields(decision, waited_s),
         )
 
-    def arrived(self, service: str) -> None:
+    def dispatch_done(self, service: str) -> None:
         """A place at a worker was taken for a request that was let go, or none can be."""
-        line = self._line(service)
-        with line.lock:
-            line.admissions.arrived()
+        queue = self._queue(service)
+        with queue.lock:
+            queue.admissions.dispatch_done()
 
-    def after_s(
+    def retry_after_s(
         self,
         service: str,
         workers: Sequence[Worker],
         target_s: float,
-        left_s: float,
-        left_share: float,
+        remaining_s: float,
+        remaining_share: float,
     ) -> float | None:
         """Seconds after which a refused client is to come back; None where that is switched off."""
         if not self._settings.return_from_room:
             return None
-        rooms = self._room.of(workers, ESTIMATE_S)
-        own = sum(self._room.own_in_hand(worker) for worker in workers)
-        outlook = Outlook.of(rooms, target_s, len(self._line(service).admissions), own)
-        after_s = self._return_times.after_s(service, outlook, left_s, left_share, self._now_s())
-        return round(max(0.0, after_s), 3)
+        capacities = self._capacity.for_workers(workers, ESTIMATE_MAX_AGE_S)
+        own = sum(self._capacity.local_in_flight(worker) for worker in workers)
+        estimate = CapacityEstimate.from_workers(
+            capacities, target_s, len(self._queue(service).admissions), own
+        )
+        retry_after_s = self._retry_after.retry_after_s(
+            service, estimate, remaining_s, remaining_share, self._now_s()
+        )
+        return round(max(0.0, retry_after_s), 3)
 
-    def _line(self, service: str) -> _Line:
+    def _queue(self, service: str) -> _ServiceQueue:
         with self._lock:
-            if service not in self._lines:
+            if service not in self._queues:
                 shares = RecentShares() if self._settings.reserve else None
-                longest = self._settings.longest_queue
-                admissions = Admissions(self._judge, StartTimeFair(), longest, shares)
-                self._lines[service] = _Line(admissions)
-            return self._lines[service]
+                max_length = self._settings.longest_queue
+                admissions = AdmissionQueue(
+                    self._policy, StartTimeFairQueueing(), max_length, shares
+                )
+                self._queues[service] = _ServiceQueue(admissions)
+            return self._queues[service]
 
 
-def _shown(judgement: Judgement, waited_s: float) -> dict[str, float]:
+def _log_fields(decision: AdmissionDecision, waited_s: float) -> dict[str, float]:
     return {
         "waited_ms": round(1000 * waited_s),
-        "expected_ms": round(1000 * min(judgement.expected_s, LONGEST_AGE_S)),
-        "in_hand": round(judgement.in_hand, 1),
-        "slots": judgement.slots,
-        "age_ms": round(1000 * min(judgement.age_s, LONGEST_AGE_S)),
+        "expected_ms": round(1000 * min(decision.expected_s, MAX_LOGGED_S)),
+        "in_hand": round(decision.in_flight, 1),
+        "slots": decision.slots,
+        "age_ms": round(1000 * min(decision.age_s, MAX_LOGGED_S)),
     }
--- a/src/bellweir/hosted/queueing/interface.py
+++ b/src/bellweir/hosted/queueing/interface.py
@@ -4,25 +4,25 @@
 from collections.abc import Sequence
 from enum import Enum
 
-from bellweir.hosted.room.interface import Judgement, WorkerRoom
+from bellweir.hosted.room.interface import AdmissionDecision, WorkerCapacity
 
 
-class Waiting:
+class QueuedRequest:
     """One request that waits. Times are of the monotonic clock, in seconds.
 
-    >>> Waiting("r-1", "dealers", 2, arrived_s=10.0, latest_s=10.025, deadline_s=11.0)
-    Waiting('r-1', tenant='dealers', priority=2)
+    >>> QueuedRequest("r-1", "dealers", 2, arrived_s=10.0, wait_until_s=10.025, deadline_s=11.0)
+    QueuedRequest('r-1', tenant='dealers', priority=2)
     """
 
     __slots__ = (
         "arrived_s",
         "cost_s",
         "deadline_s",
-        "latest_s",
         "priority",
         "request_id",
         "target_s",
         "tenant",
+        "wait_until_s",
     )
 
     def __init__(
@@ -31,14 +31,14 @@
         tenant: str,
         priority: int,
         arrived_s: float,
-        latest_s: float,
+        wait_until_s: float,
         deadline_s: float,
         cost_s: float = 1.0,
         target_s: float = 1.0,
     ) -> None:
         """`priority` 0 goes first.
 
-        `latest_s`: when it is let go, room or not. `deadline_s`: when its client must have an
+        `wait_until_s`: when it is let go, room or not. `deadline_s`: when its client must have an
         answer, `target_s` after its arrival when it should. `cost_s`: time of a worker's place that
         it is expected to take.
         """
@@ -46,16 +46,16 @@
         self.tenant = tenant
         self.priority = priority
         self.arrived_s = arrived_s
-        self.latest_s = latest_s
+        self.wait_until_s = wait_until_s
         self.deadline_s = deadline_s
         self.cost_s = cost_s
         self.target_s = target_s
 
     def __repr__(self) -> str:
-        return f"Waiting({self.request_id!r}, tenant={self.tenant!r}, priority={self.priority!r})"
+        return f"QueuedRequest({self.request_id!r}, tenant={self.tenant!r}, priority={self.priority!r})"
 
 
-class Order(ABC):
+class QueueDiscipline(ABC):
     """Order among waiting requests: by priority, then by fair shares among tenants, then by age.
 
     Not safe for threads: its owner's lock guards it. Requests are told apart by identity.
@@ -66,27 +66,27 @@
         """How many wait."""
 
     @abstractmethod
-    def push(self, waiting: Waiting) -> None:
+    def push(self, request: QueuedRequest) -> None:
         """Add one."""
 
     @abstractmethod
-    def peek(self) -> Waiting | None:
+    def peek(self) -> QueuedRequest | None:
         """The one whose turn it is; None when nobody waits."""
 
     @abstractmethod
-    def remove(self, waiting: Waiting, *, served: bool) -> bool:
+    def remove(self, request: QueuedRequest, *, served: bool) -> bool:
         """Take one out; False when it does not wait. `served` charges its tenant."""
 
     @abstractmethod
-    def charge(self, waiting: Waiting) -> None:
+    def charge(self, request: QueuedRequest) -> None:
         """Charge a tenant for a request that started without a wait."""
 
     @abstractmethod
-    def all(self) -> Sequence[Waiting]:
+    def all(self) -> Sequence[QueuedRequest]:
         """All that wait, in no order."""
 
 
-class Release(Enum):
+class ReleaseCause(Enum):
     """Why a request no longer waits."""
 
     ROOM = "room"
@@ -99,63 +99,74 @@
     """The queue was full, and another one had more right to a place in it."""
 
 
-class Released:
+class ReleasedRequest:
     """A request that no longer waits, and the judgement it rests on."""
 
-    __slots__ = ("judgement", "release", "waiting")
+    __slots__ = ("cause", "decision", "request")
 
-    def __init__(self, waiting: Waiting, release: Release, judgement: Judgement) -> None:
-        self.waiting = waiting
-        self.release = release
-        self.judgement = judgement
+    def __init__(
+        self, request: QueuedRequest, cause: ReleaseCause, decision: AdmissionDecision
+    ) -> None:
+        self.request = request
+        self.cause = cause
+        self.decision = decision
 
 
-class Outlook:
+class CapacityEstimate:
     """What is known of the room of a service when a request is refused.
 
-    `places` are those from which an answer comes in time; `rate_per_s` places get free.
+    `usable_slots` are those from which an answer comes in time; `service_rate_per_s` places get free.
     """
 
-    __slots__ = ("own_share", "places", "rate_per_s", "taken")
+    __slots__ = ("occupied", "own_share", "service_rate_per_s", "usable_slots")
 
-    def __init__(self, taken: float, places: float, rate_per_s: float, own_share: float) -> None:
-        """`taken`: requests in hand and waiting.
+    def __init__(
+        self, occupied: float, usable_slots: float, service_rate_per_s: float, own_share: float
+    ) -> None:
+        """`occupied`: requests in hand and waiting.
 
-        `own_share`: of these, those of this gateway, as a share from 0 to 1. `rate_per_s` is 0
+        `own_share`: of these, those of this gateway, as a share from 0 to 1. `service_rate_per_s` is 0
         while unknown.
         """
-        self.taken = taken
-        self.places = places
-        self.rate_per_s = rate_per_s
+        self.occupied = occupied
+        self.usable_slots = usable_slots
+        self.service_rate_per_s = service_rate_per_s
         self.own_share = own_share
 
     @classmethod
-    def of(
-        cls, workers: Sequence[WorkerRoom], target_s: float, waiting: int, own: float
-    ) -> "Outlook":
+    def from_workers(
+        cls, workers: Sequence[WorkerCapacity], target_s: float, queued: int, own: float
+    ) -> "CapacityEstimate":
         """Reckon it for requests with a target, `own` of them in hand of this gateway.
 
-        >>> outlook = Outlook.of([WorkerRoom(6, 30, 0.05)], 0.1, waiting=0, own=3)
-        >>> outlook.taken, outlook.places, round(outlook.rate_per_s), outlook.own_share
+        >>> estimate = CapacityEstimate.from_workers([WorkerCapacity(6, 30, 0.05)], 0.1, queued=0, own=3)
+        >>> estimate.occupied, estimate.usable_slots, round(estimate.service_rate_per_s), estimate.own_share
         (30, 12.0, 120, 0.1)
         """
-        known = [worker for worker in workers if worker.usual_s > 0]
-        taken = sum(worker.in_hand for worker in workers) + waiting
-        places = sum(worker.slots * max(1.0, target_s / worker.usual_s) for worker in known)
-        rate = sum(min(worker.slots, worker.in_hand) / worker.usual_s for worker in known)
-        share = min(1.0, (own + waiting) / taken) if taken > 0 else 1.0
-        return cls(taken, places, rate, share)
+        known = [worker for worker in workers if worker.service_time_s > 0]
+        occupied = sum(worker.in_flight for worker in workers) + queued
+        usable_slots = sum(
+            worker.slots * max(1.0, target_s / worker.service_time_s) for worker in known
+        )
+        rate = sum(min(worker.slots, worker.in_flight) / worker.service_time_s for worker in known)
+        share = min(1.0, (own + queued) / occupied) if occupied > 0 else 1.0
+        return cls(occupied, usable_slots, rate, share)
 
 
-class ReturnTimes(ABC):
+class RetryAfterPolicy(ABC):
     """Says when a refused client is to come back."""
 
     @abstractmethod
-    def after_s(
-        self, service: str, outlook: Outlook, left_s: float, left_share: float, now_s: float
+    def retry_after_s(
+        self,
+        service: str,
+        estimate: CapacityEstimate,
+        remaining_s: float,
+        remaining_share: float,
+        now_s: float,
     ) -> float:
-        """Seconds after which to come back; at most a third of `left_s`, the client's time.
+        """Seconds after which to come back; at most a third of `remaining_s`, the client's time.
 
-        `left_share`: which part of the time that its client gave it is left, 0 to 1; those that
+        `remaining_share`: which part of the time that its client gave it is left, 0 to 1; those that
         have least left come back first.
         """
--- a/src/bellweir/hosted/queueing/shares.py
+++ b/src/bellweir/hosted/queueing/shares.py
@@ -5,7 +5,7 @@
 beyond their share leave a reserve to the others; it costs nothing while there is room.
 """
 
-from bellweir.hosted.queueing.interface import Waiting
+from bellweir.hosted.queueing.interface import QueuedRequest
 
 HALF_LIFE_S = 1.0
 """Requests count half after this time: long enough that a share is not one request's chance, short
@@ -21,10 +21,10 @@
     """Decayed counts of the requests that came, by priority and tenant. Its owner's lock guards it.
 
     >>> shares = RecentShares()
-    >>> large, small = Waiting("l", "large", 5, 0, 9, 9), Waiting("s", "small", 5, 0, 9, 9)
+    >>> large, small = QueuedRequest("l", "large", 5, 0, 9, 9), QueuedRequest("s", "small", 5, 0, 9, 9)
     >>> for one in (large, large, large, large, small):
-    ...     shares.came(one, 0.0)
-    >>> shares.is_beyond(large), shares.is_beyond(small)
+    ...     shares.record(one, 0.0)
+    >>> shares.exceeds_share(large), shares.exceeds_share(small)
     (True, False)
     """
 
@@ -34,18 +34,18 @@
         self._counts: dict[tuple[int, str], float] = {}
         self._as_of_s = 0.0
 
-    def came(self, waiting: Waiting, now_s: float) -> None:
+    def record(self, request: QueuedRequest, now_s: float) -> None:
         """Count a request."""
         self._decay(now_s)
-        key = (waiting.priority, waiting.tenant)
+        key = (request.priority, request.tenant)
         self._counts[key] = self._counts.get(key, 0.0) + 1.0
 
-    def is_beyond(self, waiting: Waiting) -> bool:
+    def exceeds_share(self, request: QueuedRequest) -> bool:
         """Whether more urgent requests come, too, or its tenant has more than its share."""
-        equals = [n for (priority, _), n in self._counts.items() if priority == waiting.priority]
-        if any(priority < waiting.priority for priority, _ in self._counts):
+        equals = [n for (priority, _), n in self._counts.items() if priority == request.priority]
+        if any(priority < request.priority for priority, _ in self._counts):
             return True
-        own = self._counts.get((waiting.priority, waiting.tenant), 0.0)
+        own = self._counts.get((request.priority, request.tenant), 0.0)
         return bool(equals) and own > BEYOND * sum(equals) / len(equals)
 
     def _decay(self, now_s: float) -> None:
--- a/src/bellweir/hosted/queueing/start_time_fair.py
+++ b/src/bellweir/hosted/queueing/start_time_fair.py
@@ -3,22 +3,22 @@
 Goyal, Vin, Cheng: Start-time Fair Queueing, SIGCOMM 1996, with equal weights.
 """
 
-from bellweir.hosted.queueing.by_priority import ByPriority
-from bellweir.hosted.queueing.interface import Waiting
+from bellweir.hosted.queueing.by_priority import PriorityDiscipline
+from bellweir.hosted.queueing.interface import QueuedRequest
 
 MOST_TENANTS = 4_096
 """Tenants whose tags are kept; beyond it those that fell behind the virtual time go."""
 
 
-class StartTimeFair(ByPriority):
+class StartTimeFairQueueing(PriorityDiscipline):
     """Counts what each tenant is given, that of requests that did not wait included.
 
-    >>> order = StartTimeFair()
-    >>> order.charge(Waiting("l0", "large", 5, 0, 9, 9))
-    >>> order.push(Waiting("l1", "large", 5, 0, 9, 9))
-    >>> order.push(Waiting("s1", "small", 5, 1, 9, 9))
-    >>> order.peek()
-    Waiting('s1', tenant='small', priority=5)
+    >>> discipline = StartTimeFairQueueing()
+    >>> discipline.charge(QueuedRequest("l0", "large", 5, 0, 9, 9))
+    >>> discipline.push(QueuedRequest("l1", "large", 5, 0, 9, 9))
+    >>> discipline.push(QueuedRequest("s1", "small", 5, 1, 9, 9))
+    >>> discipline.peek()
+    QueuedRequest('s1', tenant='small', priority=5)
     """
 
     def __init__(self) -> None:
@@ -26,11 +26,11 @@
         self._tags: dict[int, _Tags] = {}
         """By priority: a more urgent tenant's requests do not use up another one's share."""
 
-    def push(self, waiting: Waiting) -> None:
+    def push(self, request: QueuedRequest) -> None:
         """Add one."""
-        self._waiting.append(waiting)
+        self._queue.append(request)
 
-    def peek(self) -> Waiting | None:
+    def peek(self) -> QueuedRequest | None:
         """The oldest request of the tenant with the smallest start tag."""
         return min(
             self._first_class(),
@@ -38,20 +38,20 @@
             default=None,
         )
 
-    def remove(self, waiting: Waiting, *, served: bool) -> bool:
+    def remove(self, request: QueuedRequest, *, served: bool) -> bool:
         """Take one out; one that is served moves its tenant's tag on."""
-        if not self._take_out(waiting):
+        if not self._take_out(request):
             return False
         if served:
-            self.charge(waiting)
+            self.charge(request)
         return True
 
-    def charge(self, waiting: Waiting) -> None:
+    def charge(self, request: QueuedRequest) -> None:
         """Move a tenant's tag on by what one request costs."""
-        self._of(waiting).serve(waiting.tenant, waiting.cost_s)
+        self._of(request).serve(request.tenant, request.cost_s)
 
-    def _of(self, waiting: Waiting) -> "_Tags":
-        return self._tags.setdefault(waiting.priority, _Tags())
+    def _of(self, request: QueuedRequest) -> "_Tags":
+        return self._tags.setdefault(request.priority, _Tags())
 
 
 class _Tags:
--- a/src/bellweir/hosted/room/judge.py
+++ b/src/bellweir/hosted/room/policy.py
@@ -10,32 +10,38 @@
 
 from collections.abc import Sequence
 
-from bellweir.hosted.room.interface import Judgement, Need, RoomJudge, Verdict, WorkerRoom
+from bellweir.hosted.room.interface import (
+    AdmissionAction,
+    AdmissionDecision,
+    AdmissionPolicy,
+    TimeLimits,
+    WorkerCapacity,
+)
 
-CERTAINTY = 1.5
+DEADLINE_FACTOR = 1.5
 """An answer counts as impossible only when it is expected after so many times of what is left:
 half of all answers take less than the median that is reckoned with."""
-TAKEN_SHARE = 0.5
+MIN_UTILIZATION = 0.5
 """Below this share of slots taken nobody is refused: such a service has room, whatever the times
 of its answers were."""
 TARGET_SHARE = 0.8
 """An answer counts as in time only when it is expected within this share of the target: half of
 all answers take longer than the median, and what other gateways send is heard of a little later."""
-ROUNDS = 2.0
+MIN_SERVICE_ROUNDS = 2.0
 """A worker that is slower than the target allows still takes so many rounds of its slots: coming
 back later would not make its answers sooner."""
 
 
-class ExpectedTimes(RoomJudge):
+class ExpectedLatencyPolicy(AdmissionPolicy):
     """Judges by the soonest end among the workers.
 
-    >>> judge, need = ExpectedTimes(), Need(left_s=1.5, target_s=0.2, wait_s=0.025)
-    >>> judge.judge([WorkerRoom(6, 3, 0.04)], need).verdict
-    <Verdict.START: 'start'>
-    >>> judge.judge([WorkerRoom(6, 24, 0.04)], need).verdict
-    <Verdict.WAIT: 'wait'>
-    >>> judge.judge([WorkerRoom(6, 60, 0.04)], need).verdict
-    <Verdict.REFUSE: 'refuse'>
+    >>> policy, limits = ExpectedLatencyPolicy(), TimeLimits(remaining_s=1.5, target_s=0.2, max_wait_s=0.025)
+    >>> policy.decide([WorkerCapacity(6, 3, 0.04)], limits).action
+    <AdmissionAction.START: 'start'>
+    >>> policy.decide([WorkerCapacity(6, 24, 0.04)], limits).action
+    <AdmissionAction.WAIT: 'wait'>
+    >>> policy.decide([WorkerCapacity(6, 60, 0.04)], limits).action
+    <AdmissionAction.REFUSE: 'refuse'>
     """
 
     __slots__ = ("_refuses", "_sheds", "_waits")
@@ -50,29 +56,37 @@
         self._refuses = refuses
         self._sheds = sheds
 
-    def judge(self, workers: Sequence[WorkerRoom], need: Need, ahead: int = 0) -> Judgement:
+    def decide(
+        self, workers: Sequence[WorkerCapacity], limits: TimeLimits, ahead: int = 0
+    ) -> AdmissionDecision:
         """Judge one request. Without workers, or with one of unknown times, it starts."""
-        in_hand = sum(worker.in_hand for worker in workers)
+        in_flight = sum(worker.in_flight for worker in workers)
         slots = sum(worker.slots for worker in workers)
         age_s = max((worker.age_s for worker in workers), default=0.0)
         # Those ahead spread over the workers by their slots.
-        ends = [(worker.end_s(ahead * worker.slots / slots), worker) for worker in workers]
-        expected_s = min((end_s for end_s, _ in ends), default=0.0)
-        late_s = min((end_s - _limit_s(worker, need) for end_s, worker in ends), default=0.0)
-        is_taken = slots > 0 and in_hand + ahead >= TAKEN_SHARE * slots
-        verdict = Verdict.START
-        if self._refuses and is_taken and expected_s > CERTAINTY * max(0.0, need.left_s):
-            verdict = Verdict.REFUSE
+        ends = [(worker.completion_s(ahead * worker.slots / slots), worker) for worker in workers]
+        expected_s = min((completion_s for completion_s, _ in ends), default=0.0)
+        late_s = min(
+            (completion_s - _limit_s(worker, limits) for completion_s, worker in ends), default=0.0
+        )
+        is_busy = slots > 0 and in_flight + ahead >= MIN_UTILIZATION * slots
+        action = AdmissionAction.START
+        if (
+            self._refuses
+            and is_busy
+            and expected_s > DEADLINE_FACTOR * max(0.0, limits.remaining_s)
+        ):
+            action = AdmissionAction.REFUSE
         elif late_s > 0:
-            verdict = self._of_late(late_s, need, is_taken=is_taken)
-        return Judgement(verdict, expected_s, in_hand, slots, age_s)
+            action = self._of_late(late_s, limits, is_busy=is_busy)
+        return AdmissionDecision(action, expected_s, in_flight, slots, age_s)
 
-    def _of_late(self, late_s: float, need: Need, *, is_taken: bool) -> Verdict:
-        if self._waits and late_s <= need.wait_s:
-            return Verdict.WAIT
-        return Verdict.REFUSE if self._sheds and is_taken else Verdict.START
+    def _of_late(self, late_s: float, limits: TimeLimits, *, is_busy: bool) -> AdmissionAction:
+        if self._waits and late_s <= limits.max_wait_s:
+            return AdmissionAction.WAIT
+        return AdmissionAction.REFUSE if self._sheds and is_busy else AdmissionAction.START
 
 
-def _limit_s(worker: WorkerRoom, need: Need) -> float:
+def _limit_s(worker: WorkerCapacity, limits: TimeLimits) -> float:
     """Time within which an answer of a worker is as good as can be had."""
-    return max(TARGET_SHARE * need.target_s, ROUNDS * worker.usual_s)
+    return max(TARGET_SHARE * limits.target_s, MIN_SERVICE_ROUNDS * worker.service_time_s)
--- a/src/bellweir/hosted/serving/forwarding.py
+++ b/src/bellweir/hosted/serving/forwarding.py
@@ -14,7 +14,7 @@
 from bellweir.hosted.incarnation import Incarnation
 from bellweir.hosted.log_events import REQUEST_ANSWERED, REQUEST_GIVEN_UP
 from bellweir.hosted.queueing.gate import RequestGate
-from bellweir.hosted.queueing.interface import Waiting
+from bellweir.hosted.queueing.interface import QueuedRequest
 from bellweir.hosted.records import RouteKind
 from bellweir.hosted.serving.attempt import (
     AttemptOutcome,
@@ -171,7 +171,7 @@
         """Whether a request may go to a worker now; it may wait here for that."""
         if self._gate is None or not self._is_gated(client):
             return True
-        waiting = Waiting(
+        waiting = QueuedRequest(
             client.request_id,
             client.tenant,
             client.priority,
@@ -187,7 +187,7 @@
         """Tell the gate, once, that a request counts at its worker now, or nowhere any more."""
         if progress.is_on_the_way and self._gate is not None:
             progress.is_on_the_way = False
-            self._gate.arrived(_line_of(client))
+            self._gate.dispatch_done(_line_of(client))
 
     def retry_after_s(self, client: ClientRequest, groups: list[list[Worker]], cause: str) -> float:
         """Seconds after which a refused client is to come back."""
@@ -196,7 +196,7 @@
         workers = [worker for group in groups for worker in group]
         after_s = None
         if self._gate is not None:
-            after_s = self._gate.after_s(
+            after_s = self._gate.retry_after_s(
                 _line_of(client), workers, client.target_s, client.left_s(), client.left_share
             )
         return after_s if after_s is not None else fixed_retry_after_s(cause)
--- a/src/bellweir/hosted/serving/selection.py
+++ b/src/bellweir/hosted/serving/selection.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from bellweir.hosted.incarnation import Incarnation
-from bellweir.hosted.sight.interface import SeenOutcome, Sight
+from bellweir.hosted.sight.interface import ObservedOutcome, WorkerMonitor
 from bellweir.hosted.views.workers import Worker
 
 REFUSAL_PENALTY_S = 0.15
@@ -53,7 +53,7 @@
         self,
         own_zone: str,
         has_connection: Callable[[str], bool] = lambda _address: False,
-        sight: Sight | None = None,
+        sight: WorkerMonitor | None = None,
         *,
         chooses_by_all: bool = True,
         choices_made: int = 0,
@@ -101,7 +101,7 @@
             chosen = min(candidates, key=lambda worker: self._rank(worker, now_s, pace_of))
             self._load(chosen.incarnation).in_hand += 1
         if self._sight is not None:
-            begun = self._sight.begun_again if tried else self._sight.begun
+            begun = self._sight.record_retry if tried else self._sight.record_start
             begun(chosen.entry.service, chosen.incarnation)
         return chosen
 
@@ -110,7 +110,7 @@
         with self._lock:
             self._load(worker.incarnation).in_hand += 1
         if self._sight is not None:
-            self._sight.begun(worker.entry.service, worker.incarnation)
+            self._sight.record_start(worker.entry.service, worker.incarnation)
 
     def in_hand(self, worker: Incarnation) -> int:
         """Requests of this process at a worker."""
@@ -130,34 +130,34 @@
             first = load.mean_s == 0.0
             load.mean_s = seconds if first else load.mean_s + SMOOTHING * (seconds - load.mean_s)
             self._note_own_time(seconds)
-        self._tell(worker, SeenOutcome.SERVED, seconds)
+        self._tell(worker, ObservedOutcome.SERVED, seconds)
 
     def refused(self, worker: Incarnation) -> None:
         """Release a place after a worker said that it did not run the request."""
         self._released(worker, REFUSAL_PENALTY_S, failed=False)
-        self._tell(worker, SeenOutcome.REFUSED)
+        self._tell(worker, ObservedOutcome.REFUSED)
 
     def answered_failure(self, worker: Incarnation) -> None:
         """Release a place after a worker's answer that is a failure of its own."""
         self._released(worker, REFUSAL_PENALTY_S, failed=False)
-        self._tell(worker, SeenOutcome.FAILED)
+        self._tell(worker, ObservedOutcome.FAILED)
 
     def failed(self, worker: Incarnation) -> None:
         """Release a place after no usable answer."""
         self._released(worker, FAILURE_PENALTY_S, failed=True)
-        self._tell(worker, SeenOutcome.FAILED)
+        self._tell(worker, ObservedOutcome.FAILED)
 
     def late(self, worker: Incarnation, seconds: float) -> None:
         """Release a place after a try that was given up since it took `seconds` or more."""
         self._released(worker, FAILURE_PENALTY_S, failed=True)
         with self._lock:
             self._note_own_time(seconds)
-        self._tell(worker, SeenOutcome.LATE, seconds)
+        self._tell(worker, ObservedOutcome.LATE, seconds)
 
     def released(
         self,
         worker: Incarnation,
-        outcome: SeenOutcome = SeenOutcome.UNKNOWN,
+        outcome: ObservedOutcome = ObservedOutcome.UNKNOWN,
         seconds: float = 0.0,
     ) -> None:
         """Release a place without a verdict on the worker here; others are told the outcome."""
@@ -171,15 +171,15 @@
 
     def may_try_again(self, service: str) -> bool:
         """Whether a further try at a service's workers is within its budget."""
-        return self._sight is None or self._sight.may_try_again(service)
+        return self._sight is None or self._sight.may_retry(service)
 
     def fellows_slow_s(self, service: str) -> float:
         """The 95th percentile of a service's sound workers in seconds; 0 while unknown."""
-        return 0.0 if self._sight is None else self._sight.fellows_slow_s(service)
+        return 0.0 if self._sight is None else self._sight.service_p95_s(service)
 
     def fellows_usual_s(self, service: str) -> float:
         """The median time of a service's sound workers in seconds; 0 while unknown."""
-        return 0.0 if self._sight is None else self._sight.fellows_usual_s(service)
+        return 0.0 if self._sight is None else self._sight.service_median_s(service)
 
     def mean_s(self, worker: Incarnation) -> float:
         """Smoothed time of a worker's answers."""
@@ -207,9 +207,9 @@
                 load.failures += 1
             load.avoided_until_s = time.monotonic() + penalty_s
 
-    def _tell(self, worker: Incarnation, outcome: SeenOutcome, seconds: float = 0.0) -> None:
+    def _tell(self, worker: Incarnation, outcome: ObservedOutcome, seconds: float = 0.0) -> None:
         if self._sight is not None:
-            self._sight.ended(worker, outcome, seconds)
+            self._sight.record_end(worker, outcome, seconds)
 
     def _note_own_time(self, seconds: float) -> None:
         before_s = self._own_usual_s
@@ -249,7 +249,7 @@
         if self._sight is None or not self._chooses_by_all or by_load:
             return workers
         well = [one for one in workers if self._load(one.incarnation).avoided_until_s <= now_s]
-        if any(self._sight.seen(one.incarnation).age_s == float("inf") for one in well):
+        if any(self._sight.stats(one.incarnation).age_s == float("inf") for one in well):
             # Nothing says when one of them answers: it would get all requests, or none.
             return workers
         answers = [(self._answer_s(one), one) for one in well or workers]
@@ -266,10 +266,10 @@
         in_hand, usual_s, slots = float(load.in_hand), load.mean_s, worker.entry.slots
         if self._sight is None:
             return in_hand, usual_s, slots
-        seen = self._sight.seen(worker.incarnation)
+        seen = self._sight.stats(worker.incarnation)
         if self._chooses_by_all and seen.age_s != float("inf"):
-            in_hand = max(in_hand, seen.in_hand)
-            usual_s = seen.usual_s or usual_s
+            in_hand = max(in_hand, seen.in_flight)
+            usual_s = seen.median_s or usual_s
         if seen.load is not None:
             half_s = max(SHORTEST_HALF_S, usual_s)
             told = seen.load.requests * float(0.5 ** (seen.load_age_s / half_s))
@@ -282,7 +282,7 @@
 def _admitted(
     candidates: list[Worker],
     tried: Collection[Incarnation],
-    sight: Sight,
+    sight: WorkerMonitor,
     *,
     is_bounded: bool,
 ) -> list[Worker]:
@@ -291,24 +291,24 @@
     A first try is a trial where one is due, and may go to a worker that is set aside when all are.
     A further one does neither: it would go from one failure to the next.
     """
-    well = [one for one in candidates if not sight.seen(one.incarnation).is_set_aside]
+    well = [one for one in candidates if not sight.stats(one.incarnation).is_ejected]
     if tried:
         return _within_budget(well, sight) if is_bounded else well
     if len(well) < len(candidates):
-        on_trial = (one for one in candidates if sight.may_try(one.incarnation))
+        on_trial = (one for one in candidates if sight.may_probe(one.incarnation))
         trial = next(on_trial, None)
         if trial is not None:
             return [trial]
     return well or candidates
 
 
-def _within_budget(candidates: list[Worker], sight: Sight) -> list[Worker]:
+def _within_budget(candidates: list[Worker], sight: WorkerMonitor) -> list[Worker]:
     """None of a service whose further tries have used up their share."""
     allowed = {}
     for service in {one.entry.service for one in candidates}:
-        allowed[service] = sight.may_try_again(service)
+        allowed[service] = sight.may_retry(service)
         if not allowed[service]:
-            sight.refused_again(service)
+            sight.record_retry_refused(service)
     return [one for one in candidates if allowed[one.entry.service]]
 
 
--- a/src/bellweir/hosted/serving/service.py
+++ b/src/bellweir/hosted/serving/service.py
@@ -13,7 +13,7 @@
 from bellweir.hosted.log_events import PROCESS_DRAINING
 from bellweir.hosted.metrics_service import MetricsService
 from bellweir.hosted.queueing.gate import RequestGate
-from bellweir.hosted.room.observed import ObservedRoom
+from bellweir.hosted.room.observed import ObservedCapacity
 from bellweir.hosted.serving.application import RequestApplication
 from bellweir.hosted.serving.attempt import WorkerConnections
 from bellweir.hosted.serving.directory import TTL_S, Directory
@@ -22,8 +22,8 @@
 from bellweir.hosted.serving.simple_application import SimpleApplication
 from bellweir.hosted.serving.streams import StreamForwarder
 from bellweir.hosted.settings import HostedSettings, TenantSettings
-from bellweir.hosted.sight.interface import Sight
-from bellweir.hosted.sight.service import SightService
+from bellweir.hosted.sight.interface import WorkerMonitor
+from bellweir.hosted.sight.service import WorkerMonitorService
 from bellweir.hosted.tenants.admission import KeyCheck
 from bellweir.hosted.usage.sender import UsageCountsService
 from bellweir.hosted.views.configuration import RouteTable
@@ -85,8 +85,8 @@
         """Listen on every address that the settings give."""
         registry = self._kernel.registry
         self._views = registry.find(names.VIEWS, ViewsService)
-        sight = registry.find(names.SIGHT, SightService).sight
-        self._connections = WorkerConnections(self._platform.headers, sight.load_told)
+        sight = registry.find(names.SIGHT, WorkerMonitorService).monitor
+        self._connections = WorkerConnections(self._platform.headers, sight.record_load)
         self._loads = WorkerLoads(
             self._settings.node.zone,
             self._connections.has_idle,
@@ -109,7 +109,7 @@
             self._apply_limits(table)
         self._kernel.executors.run_task("front-tidy", self._tidy)
 
-    def _request_application(self, sight: Sight) -> RequestApplication:
+    def _request_application(self, sight: WorkerMonitor) -> RequestApplication:
         ledger = self._kernel.registry.find(names.LEDGER, Ledger)  # type: ignore[type-abstract]
         caller_watch = CallerWatch(self._kernel.executors)
         caller_watch.start()
@@ -119,7 +119,7 @@
             "Connections of clients with a request in hand.",
             lambda: float(self._requests.busy_connections() if self._requests else 0),
         )
-        self._room = ObservedRoom(self._loads.in_hand, self._loads.mean_s, sight)
+        self._room = ObservedCapacity(self._loads.in_hand, self._loads.mean_s, sight)
         gate = RequestGate(
             self._room,
             self._settings.room,
@@ -133,7 +133,7 @@
         metrics.add_gauge(
             "bellweir_requests_waiting",
             "Requests that wait for room at a service.",
-            lambda: float(gate.waiting()),
+            lambda: float(gate.queue_length()),
         )
         metrics.add_gauges(
             "bellweir_service_slots_taken",
@@ -189,7 +189,7 @@
         table = self._views.configuration.table()
         services = table.services if table is not None else ()
         workers = self._views.workers
-        return {name: self._room.share_taken(workers.ready(name)) for name in services}
+        return {name: self._room.utilization(workers.ready(name)) for name in services}
 
     def _serve_at(self, address: str | None, application: WsgiApplication) -> None:
         if address is not None:
@@ -237,7 +237,7 @@
         while not stopping.wait(TIDY_PERIOD_S):
             workers = self._views.workers.all()
             self._loads.forget_others({worker.incarnation for worker in workers})
-            self._room.forget_others({worker.incarnation for worker in workers})
+            self._room.retain({worker.incarnation for worker in workers})
             self._connections.forget_others({worker.address for worker in workers})
 
     def drain(self, deadline_s: float) -> None:
--- a/src/bellweir/hosted/serving/streams.py
+++ b/src/bellweir/hosted/serving/streams.py
@@ -39,7 +39,7 @@
     own_response,
 )
 from bellweir.hosted.serving.selection import WorkerLoads
-from bellweir.hosted.sight.interface import SeenOutcome
+from bellweir.hosted.sight.interface import ObservedOutcome
 from bellweir.hosted.views.configuration import RouteTable
 from bellweir.hosted.views.workers import Worker
 from bellweir.http_server.caller_watch import CallerWatch
@@ -220,7 +220,7 @@
         if worker is None:
             return
         if whole:
-            self._loads.released(worker.incarnation, SeenOutcome.SERVED, stream.head_s)
+            self._loads.released(worker.incarnation, ObservedOutcome.SERVED, stream.head_s)
         elif stream.cancellation.cancelled.is_set():
             self._loads.released(worker.incarnation)
         else:
--- a/src/bellweir/hosted/sight/counts.py
+++ b/src/bellweir/hosted/sight/counts.py
@@ -4,8 +4,8 @@
 time, and so do differences: what was seen since a moment is what is seen now, less what was seen
 then as it weighs now.
 
->>> counts = Counts()
->>> for seconds in (0.1, 0.1, 0.4): counts.add(SeenOutcome.SERVED, seconds, now_s=0.0)
+>>> counts = DecayingCounts()
+>>> for seconds in (0.1, 0.1, 0.4): counts.add(ObservedOutcome.SERVED, seconds, now_s=0.0)
 >>> counts.served, 0.08 < counts.quantile_s(0.5) < 0.13
 (3.0, True)
 >>> counts.as_of(HALF_LIFE_S).served
@@ -15,7 +15,7 @@
 import math
 from collections.abc import Mapping
 
-from bellweir.hosted.sight.interface import SeenOutcome
+from bellweir.hosted.sight.interface import ObservedOutcome
 
 HALF_LIFE_S = 8.0
 """Longer than it takes a worker to get some requests from all gateways, shorter than an incident
@@ -28,13 +28,13 @@
 """Weights below this are dropped."""
 
 
-class Counts:
+class DecayingCounts:
     """Decaying counts of outcomes and a histogram of answers' times, as of `as_of_s`.
 
     Not safe for threads.
     """
 
-    __slots__ = ("as_of_s", "buckets", "failed", "further", "refused", "served")
+    __slots__ = ("as_of_s", "buckets", "failed", "refused", "retries", "served")
 
     def __init__(
         self,
@@ -43,10 +43,10 @@
         refused: float = 0.0,
         buckets: Mapping[int, float] | None = None,
         as_of_s: float = 0.0,
-        further: float = 0.0,
+        retries: float = 0.0,
     ) -> None:
-        """`further`: those of the requests that were not a request's first try."""
-        self.further = further
+        """`retries`: those of the requests that were not a request's first try."""
+        self.retries = retries
         self.served = served
         self.failed = failed
         self.refused = refused
@@ -63,21 +63,21 @@
         """Whether nothing is left that weighs."""
         return self.judged + self.refused < NOTHING
 
-    def add(self, outcome: SeenOutcome, seconds: float, now_s: float) -> None:
+    def add(self, outcome: ObservedOutcome, seconds: float, now_s: float) -> None:
         """Count a request that ended.
 
         Served ones tell a time, and so do late ones, which took as long at least: without them
         the answers that are waited for would look ever shorter.
         """
         self.age_to(now_s)
-        if outcome in (SeenOutcome.SERVED, SeenOutcome.LATE):
+        if outcome in (ObservedOutcome.SERVED, ObservedOutcome.LATE):
             bucket = bucket_of(seconds)
             self.buckets[bucket] = self.buckets.get(bucket, 0.0) + 1.0
-        if outcome is SeenOutcome.SERVED:
+        if outcome is ObservedOutcome.SERVED:
             self.served += 1.0
-        elif outcome in (SeenOutcome.FAILED, SeenOutcome.LATE):
+        elif outcome in (ObservedOutcome.FAILED, ObservedOutcome.LATE):
             self.failed += 1.0
-        elif outcome is SeenOutcome.REFUSED:
+        elif outcome is ObservedOutcome.REFUSED:
             self.refused += 1.0
 
     def age_to(self, now_s: float) -> None:
@@ -89,41 +89,41 @@
         self.served *= factor
         self.failed *= factor
         self.refused *= factor
-        self.further *= factor
+        self.retries *= factor
         aged = ((bucket, weight * factor) for bucket, weight in self.buckets.items())
         self.buckets = {bucket: weight for bucket, weight in aged if weight >= NOTHING}
 
-    def as_of(self, now_s: float) -> "Counts":
+    def as_of(self, now_s: float) -> "DecayingCounts":
         """A copy that weighs what it does at a later time."""
-        copied = Counts(
-            self.served, self.failed, self.refused, self.buckets, self.as_of_s, self.further
+        copied = DecayingCounts(
+            self.served, self.failed, self.refused, self.buckets, self.as_of_s, self.retries
         )
         copied.age_to(now_s)
         return copied
 
-    def plus(self, other: "Counts") -> None:
+    def plus(self, other: "DecayingCounts") -> None:
         """Add counts that are as of the same time."""
         self.served += other.served
         self.failed += other.failed
         self.refused += other.refused
-        self.further += other.further
+        self.retries += other.retries
         for bucket, weight in other.buckets.items():
             self.buckets[bucket] = self.buckets.get(bucket, 0.0) + weight
 
-    def since(self, earlier: "Counts") -> "Counts":
+    def since(self, earlier: "DecayingCounts") -> "DecayingCounts":
         """What was seen after `earlier`; nothing is ever below zero."""
         before = earlier.as_of(self.as_of_s)
         left = {
             bucket: weight - before.buckets.get(bucket, 0.0)
             for bucket, weight in self.buckets.items()
         }
-        return Counts(
+        return DecayingCounts(
             max(0.0, self.served - before.served),
             max(0.0, self.failed - before.failed),
             max(0.0, self.refused - before.refused),
             {bucket: weight for bucket, weight in left.items() if weight >= NOTHING},
             self.as_of_s,
-            max(0.0, self.further - before.further),
+            max(0.0, self.retries - before.retries),
         )
 
     def quantile_s(self, share: float) -> float:
--- a/src/bellweir/hosted/sight/exchange.py
+++ b/src/bellweir/hosted/sight/exchange.py
@@ -1,6 +1,6 @@
 """Tells other gateways what was seen of workers, and hears them.
 
-Twice in `PERIOD_S` at most a gateway sends one message: to a fellow of its zone and to a gateway of
+Twice in `GOSSIP_INTERVAL_S` at most a gateway sends one message: to a fellow of its zone and to a gateway of
 another zone, as `fellows` says, and only while there is something to tell. With Z zones of n
 gateways that together see R changes a second of their W workers, a gateway sends
 
@@ -22,8 +22,8 @@
 
 from returns.result import Failure, Success
 
-from bellweir.hosted.sight.fellows import (
-    Fellow,
+from bellweir.hosted.sight.gossip_ring import (
+    GatewayPeer,
     in_other_zone,
     in_zone,
     place_of,
@@ -31,28 +31,28 @@
     rounds_to_all,
 )
 from bellweir.hosted.sight.messages import SightHeard, SightNews
-from bellweir.hosted.sight.table import SightTable
+from bellweir.hosted.sight.table import ObservationTable
 from bellweir.membership.interface import Membership
 from bellweir.wire.interface import Sender, Transport, WireErrorKind
 
-PERIOD_S = 0.5
+GOSSIP_INTERVAL_S = 0.5
 """What one of 25 gateways of a zone saw is known to all of them 2.5 s later."""
 ASK_TIMEOUT_S = 0.25
 REFUSED_FOR_S = 30.0
 """Time for which a peer that does not know the messages is left out; it may be replaced."""
 NO_ANSWER_FOR_S = 2.0
-ALONE_AFTER_S = 5.0
+ISOLATED_AFTER_S = 5.0
 """Time without a word in which this node had something to tell: others have then, too."""
 
 
-class SightExchange:
+class ObservationExchange:
     """One node's part."""
 
     def __init__(
         self,
         transport: Transport,
         membership: Membership,
-        table: SightTable,
+        table: ObservationTable,
         now_s: Callable[[], float] = time.monotonic,
     ) -> None:
         self._transport = transport
@@ -71,16 +71,16 @@
         transport.register(SightNews, self._on_news)
 
     @property
-    def is_alone(self) -> bool:
+    def is_isolated(self) -> bool:
         """Whether others are there, and none was heard while this node had something to tell."""
-        return self._silence_s >= ALONE_AFTER_S
+        return self._silence_s >= ISOLATED_AFTER_S
 
     def run(self, stopping: threading.Event) -> None:
         """Tell what is new until `stopping`. One task."""
-        while not stopping.wait(PERIOD_S):
-            self.tell()
+        while not stopping.wait(GOSSIP_INTERVAL_S):
+            self.run_round()
 
-    def tell(self) -> None:
+    def run_round(self) -> None:
         """One round: a message to a fellow of the zone and to one of another zone."""
         own = self._membership.self_member()
         found = rings(self._membership.members())
@@ -98,11 +98,13 @@
         self._note_silence(has_told)
 
     def _tell_one(
-        self, fellow: Fellow | None, tells: int, crosses: int, to_other_zone: bool
+        self, fellow: GatewayPeer | None, tells: int, crosses: int, to_other_zone: bool
     ) -> bool:
         if fellow is None:
             return False
-        records = self._table.to_tell(self._now_s(), tells, crosses, to_other_zone=to_other_zone)
+        records = self._table.next_records(
+            self._now_s(), tells, crosses, to_other_zone=to_other_zone
+        )
         if not records:
             return False
         news = SightNews(records)
@@ -126,7 +128,7 @@
         with self._lock:
             self._left_out_until_s[address] = self._now_s() + for_s
 
-    def _willing(self, ring: Sequence[Fellow], own: str) -> list[Fellow]:
+    def _willing(self, ring: Sequence[GatewayPeer], own: str) -> list[GatewayPeer]:
         """Those of a ring that are not left out now, this node always among its own."""
         now_s = self._now_s()
         with self._lock:
@@ -147,7 +149,7 @@
         passed_s, self._looked_s = now_s - self._looked_s, now_s
         with self._lock:
             if has_told:
-                self._silence_s += min(passed_s, 2 * PERIOD_S)
+                self._silence_s += min(passed_s, 2 * GOSSIP_INTERVAL_S)
 
     def _on_news(self, sender: Sender, news: SightNews) -> SightHeard:
         now_s = self._now_s()
@@ -160,5 +162,5 @@
         for record in news.records:
             origin = self._membership.member(record.origin)
             zone = origin.zone if origin is not None else None
-            self._table.take(record, zone, now_s, tells)
+            self._table.receive(record, zone, now_s, tells)
         return SightHeard()
--- a/src/bellweir/hosted/sight/fellows.py
+++ b/src/bellweir/hosted/sight/gossip_ring.py
@@ -5,7 +5,7 @@
 saw has reached all after `k` rounds, and each keeps `k` connections of its zone. In each round a
 gateway also tells one of another zone, the zones by turns: the one at its own place there.
 
->>> ring = [Fellow(f"g-{number}", f"h:{number}") for number in range(5)]
+>>> ring = [GatewayPeer(f"g-{number}", f"h:{number}") for number in range(5)]
 >>> [in_zone(ring, "g-3", number).node for number in range(4)]
 ['g-4', 'g-0', 'g-2', 'g-4']
 >>> in_other_zone({"b": ring[:2], "c": ring[2:]}, place=4, number=3).node
@@ -20,7 +20,7 @@
 from bellweir.membership.interface import Member, MemberState
 
 
-class Fellow:
+class GatewayPeer:
     """Another gateway."""
 
     __slots__ = ("address", "node")
@@ -31,12 +31,12 @@
         self.address = address
 
 
-def rings(members: Iterable[Member]) -> dict[str, list[Fellow]]:
+def rings(members: Iterable[Member]) -> dict[str, list[GatewayPeer]]:
     """The live gateways of each zone, in order."""
-    found: dict[str, list[Fellow]] = {}
+    found: dict[str, list[GatewayPeer]] = {}
     for member in sorted(members, key=rank):
         if member.gateway_address and member.state is MemberState.ALIVE:
-            fellow = Fellow(member.node, member.peer_address)
+            fellow = GatewayPeer(member.node, member.peer_address)
             found.setdefault(member.zone, []).append(fellow)
     return found
 
@@ -50,12 +50,12 @@
     return max(1, (length - 1).bit_length())
 
 
-def place_of(ring: Sequence[Fellow], node: str) -> int:
+def place_of(ring: Sequence[GatewayPeer], node: str) -> int:
     """The place of a node in its ring; 0 where it is not seen there yet."""
     return next((place for place, one in enumerate(ring) if one.node == node), 0)
 
 
-def in_zone(ring: Sequence[Fellow], node: str, number: int) -> Fellow | None:
+def in_zone(ring: Sequence[GatewayPeer], node: str, number: int) -> GatewayPeer | None:
     """Whom to tell of the own zone in a round; None when there is nobody else."""
     step = 1 << (number % rounds_to_all(len(ring)))
     if not ring:
@@ -64,7 +64,9 @@
     return None if chosen.node == node else chosen
 
 
-def in_other_zone(others: Mapping[str, Sequence[Fellow]], place: int, number: int) -> Fellow | None:
+def in_other_zone(
+    others: Mapping[str, Sequence[GatewayPeer]], place: int, number: int
+) -> GatewayPeer | None:
     """Whom to tell of another zone in a round; `others` holds no empty ring."""
     if not others:
         return None
--- a/src/bellweir/hosted/sight/messages.py
+++ b/src/bellweir/hosted/sight/messages.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from bellweir.hosted.incarnation import Incarnation
-from bellweir.hosted.sight.counts import Counts
+from bellweir.hosted.sight.counts import DecayingCounts
 from bellweir.hosted.sight.worker_load import WorkerLoad
 from bellweir.wire.interface import Message
 
@@ -13,12 +13,12 @@
 LOAD_FIGURES = 5
 
 
-class SeenRecord(msgspec.Struct, frozen=True, array_like=True):
+class ObservationRecord(msgspec.Struct, frozen=True, array_like=True):
     """What one gateway, the origin, saw of one worker by itself.
 
-    >>> counts = Counts(served=1.5, buckets={4: 1.5}, as_of_s=10.0)
-    >>> record = record_of("g-1", 7, Incarnation("i-1", 3), counts, in_hand=2, now_s=10.25)
-    >>> record.age_ms, record.in_hand, record.counts(now_s=99.0).as_of_s
+    >>> counts = DecayingCounts(served=1.5, buckets={4: 1.5}, as_of_s=10.0)
+    >>> record = record_of("g-1", 7, Incarnation("i-1", 3), counts, in_flight=2, now_s=10.25)
+    >>> record.age_ms, record.in_flight, record.counts(now_s=99.0).as_of_s
     (250, 2, 98.75)
     """
 
@@ -30,12 +30,12 @@
     born_ms: int
     age_ms: int
     """Time since the counts weighed what they say here, on the way included as far as known."""
-    in_hand: int
+    in_flight: int
     served: int
     """This and the counts below are in hundredths."""
     failed: int
     refused: int
-    further: int = 0
+    retries: int = 0
     load: tuple[int, ...] = ()
     """Age in ms, running, waiting, slots and pace, as the worker told the origin."""
     times: tuple[int, ...] = ()
@@ -46,16 +46,16 @@
         """The worker."""
         return Incarnation(self.instance, self.born_ms)
 
-    def counts(self, now_s: float) -> Counts:
+    def counts(self, now_s: float) -> DecayingCounts:
         """The counts, on the clock of the node that was told them just now."""
         pairs = zip(self.times[::2], self.times[1::2], strict=False)
-        return Counts(
+        return DecayingCounts(
             self.served / PARTS,
             self.failed / PARTS,
             self.refused / PARTS,
             {bucket: weight / PARTS for bucket, weight in pairs},
             now_s - max(0, self.age_ms) / MS_PER_S,
-            self.further / PARTS,
+            self.retries / PARTS,
         )
 
     def worker_load(self, now_s: float) -> "tuple[WorkerLoad, float] | None":
@@ -63,15 +63,15 @@
         if len(self.load) != LOAD_FIGURES:
             return None
         age_ms, running, waiting, slots, pace = self.load
-        told_s = now_s - max(0, age_ms) / MS_PER_S
-        return WorkerLoad(running, waiting, slots, pace), told_s
+        last_report_s = now_s - max(0, age_ms) / MS_PER_S
+        return WorkerLoad(running, waiting, slots, pace), last_report_s
 
 
 class SightNews(Message, frozen=True):
     """Records that are new to the sender; answered by `SightHeard` where it is a request."""
 
     since_level = 2
-    records: tuple[SeenRecord, ...]
+    records: tuple[ObservationRecord, ...]
 
 
 class SightHeard(Message, frozen=True):
@@ -84,24 +84,24 @@
     origin: str,
     sequence: int,
     worker: Incarnation,
-    counts: Counts,
-    in_hand: int,
+    counts: DecayingCounts,
+    in_flight: int,
     now_s: float,
     load: tuple[WorkerLoad, float] | None = None,
-) -> SeenRecord:
+) -> ObservationRecord:
     """A record as it is told now; `load` with the time at which the worker told it."""
     weights = ((bucket, round(PARTS * weight)) for bucket, weight in sorted(counts.buckets.items()))
-    return SeenRecord(
+    return ObservationRecord(
         origin,
         sequence,
         worker.instance,
         worker.born_ms,
         max(0, round(MS_PER_S * (now_s - counts.as_of_s))),
-        in_hand,
+        in_flight,
         round(PARTS * counts.served),
         round(PARTS * counts.failed),
         round(PARTS * counts.refused),
-        round(PARTS * counts.further),
+        round(PARTS * counts.retries),
         _load_figures(load, now_s),
         tuple(figure for pair in weights if pair[1] for figure in pair),
     )
@@ -110,6 +110,6 @@
 def _load_figures(load: tuple[WorkerLoad, float] | None, now_s: float) -> tuple[int, ...]:
     if load is None:
         return ()
-    told, told_s = load
-    age_ms = max(0, round(MS_PER_S * (now_s - told_s)))
+    told, last_report_s = load
+    age_ms = max(0, round(MS_PER_S * (now_s - last_report_s)))
     return age_ms, told.running, told.waiting, told.slots, told.pace
--- a/src/bellweir/hosted/sight/shared.py
+++ b/src/bellweir/hosted/sight/monitor.py
@@ -18,11 +18,11 @@
     WORKER_RETURNED,
     WORKER_SET_ASIDE,
 )
-from bellweir.hosted.sight.counts import Counts
-from bellweir.hosted.sight.interface import SeenOutcome, Sight, WorkerSeen
-from bellweir.hosted.sight.judgement import Judgement, Verdict
-from bellweir.hosted.sight.table import IN_HAND_HALF_S, SightTable
-from bellweir.hosted.sight.tries import TryBudget
+from bellweir.hosted.sight.counts import DecayingCounts
+from bellweir.hosted.sight.interface import ObservedOutcome, WorkerMonitor, WorkerStats
+from bellweir.hosted.sight.outlier_detection import EjectionChange, OutlierDetector
+from bellweir.hosted.sight.retry_budget import SharedRetryBudget
+from bellweir.hosted.sight.table import IN_FLIGHT_MIN_HALF_LIFE_S, ObservationTable
 from bellweir.hosted.sight.worker_load import WorkerLoad
 
 LOOK_PERIOD_S = 0.4
@@ -42,46 +42,46 @@
 class _Known:
     """What is known of a worker as of the last look."""
 
-    __slots__ = ("load", "others_in_hand", "slow_s", "told_s", "usual_s")
+    __slots__ = ("last_report_s", "load", "median_s", "p95_s", "remote_in_flight")
 
     def __init__(
         self,
-        counts: Counts,
-        others_in_hand: float,
-        told_s: float,
+        counts: DecayingCounts,
+        remote_in_flight: float,
+        last_report_s: float,
         load: tuple[WorkerLoad, float] | None = None,
     ) -> None:
         self.load = load
-        self.usual_s = counts.quantile_s(0.5)
+        self.median_s = counts.quantile_s(0.5)
         answers = sum(counts.buckets.values())
-        self.slow_s = counts.quantile_s(0.95) if answers >= ENOUGH_ANSWERS else 0.0
-        self.others_in_hand = others_in_hand
-        self.told_s = told_s
+        self.p95_s = counts.quantile_s(0.95) if answers >= ENOUGH_ANSWERS else 0.0
+        self.remote_in_flight = remote_in_flight
+        self.last_report_s = last_report_s
 
 
 class _Service:
     """What is known of a service as of the last look."""
 
-    __slots__ = ("first", "further", "slow_s", "usual_s")
+    __slots__ = ("first", "median_s", "p95_s", "retries")
 
-    def __init__(self, first: float, further: float, slow_s: float, usual_s: float) -> None:
+    def __init__(self, first: float, retries: float, p95_s: float, median_s: float) -> None:
         self.first = first
-        self.further = further
-        self.slow_s = slow_s
-        self.usual_s = usual_s
+        self.retries = retries
+        self.p95_s = p95_s
+        self.median_s = median_s
 
 
-_NOTHING = _Known(Counts(), 0.0, float("-inf"))
+_NOTHING = _Known(DecayingCounts(), 0.0, float("-inf"))
 
 
-class SharedSight(Sight):
+class SharedWorkerMonitor(WorkerMonitor):
     """Safe for threads."""
 
     def __init__(
         self,
-        table: SightTable,
+        table: ObservationTable,
         services: Callable[[], Services],
-        is_alone: Callable[[], bool] = lambda: False,
+        is_isolated: Callable[[], bool] = lambda: False,
         now_s: Callable[[], float] = time.monotonic,
         *,
         sets_aside: bool = True,
@@ -95,74 +95,76 @@
         """
         self._table = table
         self._services = services
-        self._is_alone = is_alone
+        self._is_alone = is_isolated
         self._now_s = now_s
         self._sets_aside = sets_aside
         self._uses_worker_load = uses_worker_load
         self._lock = threading.Lock()
-        self._judgement = Judgement()
+        self._judgement = OutlierDetector()
         self._count_refused = count_refused
-        self._budget = TryBudget(try_share)
+        self._budget = SharedRetryBudget(try_share)
         self._known: Mapping[Incarnation, _Known] = {}
         self._of_services: Mapping[str, _Service] = {}
         self._looked_s = now_s()
         self._refusal_logged_s: dict[str, float] = {}
         self._was_alone = False
         self._gateways = 1
-        self.pause_s = LOOK_PERIOD_S
+        self.refresh_pause_s = LOOK_PERIOD_S
         """Time until the next look."""
 
-    def begun(self, service: str, incarnation: Incarnation) -> None:
+    def record_start(self, service: str, incarnation: Incarnation) -> None:
         """See the interface."""
-        self._table.begun(incarnation, self._now_s())
+        self._table.record_start(incarnation, self._now_s())
 
-    def ended(self, incarnation: Incarnation, outcome: SeenOutcome, seconds: float) -> None:
+    def record_end(
+        self, incarnation: Incarnation, outcome: ObservedOutcome, seconds: float
+    ) -> None:
         """See the interface."""
-        self._table.ended(incarnation, outcome, seconds, self._now_s())
+        self._table.record_end(incarnation, outcome, seconds, self._now_s())
 
-    def load_told(self, incarnation: Incarnation, load: WorkerLoad) -> None:
+    def record_load(self, incarnation: Incarnation, load: WorkerLoad) -> None:
         """See the interface."""
         if not self._uses_worker_load:
             return
         now_s = self._now_s()
-        self._table.load_told(incarnation, load, now_s)
+        self._table.record_load(incarnation, load, now_s)
         known = self._known.get(incarnation)
         if known is not None:
             known.load = (load, now_s)
 
-    def seen(self, incarnation: Incarnation) -> WorkerSeen:
+    def stats(self, incarnation: Incarnation) -> WorkerStats:
         """See the interface."""
         now_s = self._now_s()
         known = self._known.get(incarnation, _NOTHING)
-        others = known.others_in_hand
+        others = known.remote_in_flight
         if others:
             passed_s = max(0.0, now_s - self._looked_s)
-            others *= 0.5 ** (passed_s / max(IN_HAND_HALF_S, known.usual_s))
+            others *= 0.5 ** (passed_s / max(IN_FLIGHT_MIN_HALF_LIFE_S, known.median_s))
         load, load_s = known.load or (None, float("-inf"))
-        return WorkerSeen(
+        return WorkerStats(
             incarnation,
-            self._table.own_in_hand(incarnation) + others,
-            known.usual_s,
-            known.slow_s,
-            now_s - known.told_s,
-            is_set_aside=self.is_set_aside(incarnation),
+            self._table.local_in_flight(incarnation) + others,
+            known.median_s,
+            known.p95_s,
+            now_s - known.last_report_s,
+            is_ejected=self.is_ejected(incarnation),
             load=load,
             load_age_s=now_s - load_s,
         )
 
-    def begun_again(self, service: str, incarnation: Incarnation) -> None:
+    def record_retry(self, service: str, incarnation: Incarnation) -> None:
         """See the interface."""
-        self._table.begun(incarnation, self._now_s(), is_further=True)
+        self._table.record_start(incarnation, self._now_s(), is_further=True)
 
-    def refused_again(self, service: str) -> None:
+    def record_retry_refused(self, service: str) -> None:
         """See the interface."""
         self._count_refused(service)
         self._log_refused(service)
 
-    def may_try_again(self, service: str) -> bool:
+    def may_retry(self, service: str) -> bool:
         """See the interface."""
         seen = self._of_services.get(service)
-        return seen is None or self._budget.allows(seen.first, seen.further)
+        return seen is None or self._budget.allows(seen.first, seen.retries)
 
     def _log_refused(self, service: str) -> None:
         seen = self._of_services.get(service)
@@ -177,32 +179,32 @@
             RETRY_REFUSED,
             service=service,
             first=round(seen.first, 1),
-            further=round(seen.further, 1),
+            further=round(seen.retries, 1),
             gateways=self._gateways,
         )
 
-    def fellows_slow_s(self, service: str) -> float:
+    def service_p95_s(self, service: str) -> float:
         """See the interface."""
         seen = self._of_services.get(service)
-        return seen.slow_s if seen else 0.0
+        return seen.p95_s if seen else 0.0
 
-    def fellows_usual_s(self, service: str) -> float:
+    def service_median_s(self, service: str) -> float:
         """See the interface."""
         seen = self._of_services.get(service)
-        return seen.usual_s if seen else 0.0
+        return seen.median_s if seen else 0.0
 
-    def is_set_aside(self, incarnation: Incarnation) -> bool:
+    def is_ejected(self, incarnation: Incarnation) -> bool:
         """Whether a worker gets no more than trials."""
         with self._lock:
-            return self._judgement.is_set_aside(incarnation)
+            return self._judgement.is_ejected(incarnation)
 
-    def may_try(self, incarnation: Incarnation) -> bool:
+    def may_probe(self, incarnation: Incarnation) -> bool:
         """See the interface."""
         with self._lock:
-            return self._judgement.may_try(incarnation, self._now_s(), self._gateways)
+            return self._judgement.may_probe(incarnation, self._now_s(), self._gateways)
 
     @property
-    def is_alone(self) -> bool:
+    def is_isolated(self) -> bool:
         """See the interface."""
         return self._is_alone()
 
@@ -213,26 +215,26 @@
     def set_aside_count(self) -> int:
         """Workers that get no more than trials from this node."""
         services = self._services()
-        return sum(self.is_set_aside(one) for workers in services.values() for one in workers)
+        return sum(self.is_ejected(one) for workers in services.values() for one in workers)
 
     def run(self, stopping: threading.Event) -> None:
         """Look now and then until `stopping`. One task."""
-        while not stopping.wait(self.pause_s):
-            self.look()
+        while not stopping.wait(self.refresh_pause_s):
+            self.refresh()
 
-    def look(self) -> None:
+    def refresh(self) -> None:
         """Put together what is known of each worker, and judge them."""
         began_s = time.thread_time()
         now_s = self._now_s()
         services = self._services()
         present = {one for workers in services.values() for one in workers}
-        self._table.forget(present, now_s)
-        self._gateways = 1 + self._table.origins(now_s, ORIGINS_WITHIN_S)
+        self._table.evict(present, now_s)
+        self._gateways = 1 + self._table.active_origins(now_s, ORIGINS_WITHIN_S)
         merged = {one: self._table.merged(one, now_s) for one in self._table.workers() & present}
         self._known = {one: self._known_of(one, counts, now_s) for one, counts in merged.items()}
         self._looked_s = now_s
         with self._lock:
-            self._judgement.forget_others(present)
+            self._judgement.retain(present)
         if self._sets_aside:
             for service, workers in services.items():
                 self._judge(service, workers, merged, now_s)
@@ -240,53 +242,53 @@
             service: self._service(workers, merged) for service, workers in services.items()
         }
         self._note_alone()
-        self.pause_s = max(LOOK_PERIOD_S, (time.thread_time() - began_s) / LOOK_SHARE)
+        self.refresh_pause_s = max(LOOK_PERIOD_S, (time.thread_time() - began_s) / LOOK_SHARE)
 
-    def _known_of(self, worker: Incarnation, counts: Counts, now_s: float) -> _Known:
-        usual_s = counts.quantile_s(0.5)
-        others = self._table.others_in_hand(worker, usual_s, now_s)
+    def _known_of(self, worker: Incarnation, counts: DecayingCounts, now_s: float) -> _Known:
+        median_s = counts.quantile_s(0.5)
+        others = self._table.remote_in_flight(worker, median_s, now_s)
         load = self._table.load(worker) if self._uses_worker_load else None
-        return _Known(counts, others, self._table.told_s(worker), load)
+        return _Known(counts, others, self._table.last_report_s(worker), load)
 
     def _service(
-        self, workers: Collection[Incarnation], merged: Mapping[Incarnation, Counts]
+        self, workers: Collection[Incarnation], merged: Mapping[Incarnation, DecayingCounts]
     ) -> _Service:
         seen = {one: merged[one] for one in workers if one in merged}
         tries = sum(counts.judged + counts.refused for counts in seen.values())
-        further = sum(counts.further for counts in seen.values())
+        retries = sum(counts.retries for counts in seen.values())
         sound = sorted(
-            self._known[one].slow_s
+            self._known[one].p95_s
             for one in seen
-            if self._known[one].slow_s and not self.is_set_aside(one)
+            if self._known[one].p95_s and not self.is_ejected(one)
         )
-        slow_s = sound[len(sound) // 2] if sound else 0.0
+        p95_s = sound[len(sound) // 2] if sound else 0.0
         usual = sorted(
-            self._known[one].usual_s
+            self._known[one].median_s
             for one in seen
-            if self._known[one].usual_s and not self.is_set_aside(one)
+            if self._known[one].median_s and not self.is_ejected(one)
         )
-        usual_s = usual[len(usual) // 2] if usual else 0.0
-        return _Service(max(0.0, tries - further), further, slow_s, usual_s)
+        median_s = usual[len(usual) // 2] if usual else 0.0
+        return _Service(max(0.0, tries - retries), retries, p95_s, median_s)
 
     def _judge(
         self,
         service: str,
         workers: Collection[Incarnation],
-        merged: Mapping[Incarnation, Counts],
+        merged: Mapping[Incarnation, DecayingCounts],
         now_s: float,
     ) -> None:
         if not any(one in merged for one in workers):
             return
-        nothing = Counts(as_of_s=now_s)
+        nothing = DecayingCounts(as_of_s=now_s)
         seen = {one: merged.get(one, nothing) for one in workers}
         with self._lock:
-            verdicts = self._judgement.judge(service, seen, now_s, self._gateways)
+            verdicts = self._judgement.update(service, seen, now_s, self._gateways)
         for verdict in verdicts:
             self._log(service, verdict, now_s)
 
-    def _log(self, service: str, verdict: Verdict, now_s: float) -> None:
+    def _log(self, service: str, verdict: EjectionChange, now_s: float) -> None:
         counts = verdict.counts
-        age_s = now_s - self._table.told_s(verdict.incarnation)
+        age_s = now_s - self._table.last_report_s(verdict.incarnation)
         fields = {
             "instance": verdict.incarnation.instance,
             "service": service,
@@ -302,8 +304,8 @@
             emit(WORKER_SET_ASIDE, fellow=round(verdict.fellow, 3), for_s=verdict.for_s, **fields)
 
     def _note_alone(self) -> None:
-        is_alone = self._is_alone()
-        if is_alone == self._was_alone:
+        is_isolated = self._is_alone()
+        if is_isolated == self._was_alone:
             return
-        self._was_alone = is_alone
-        emit(SIGHT_ALONE if is_alone else SIGHT_SHARED, gateways=self._gateways)
+        self._was_alone = is_isolated
+        emit(SIGHT_ALONE if is_isolated else SIGHT_SHARED, gateways=self._gateways)
--- a/src/bellweir/hosted/sight/judgement.py
+++ b/src/bellweir/hosted/sight/outlier_detection.py
@@ -14,16 +14,16 @@
 A worker that is set aside gets nothing for a while, then trials, few for all gateways together. It
 returns after some good ones and is set aside for twice as long after a bad one.
 
->>> from bellweir.hosted.sight.interface import SeenOutcome
+>>> from bellweir.hosted.sight.interface import ObservedOutcome
 >>> a, b = Incarnation("i-a"), Incarnation("i-b")
->>> seen = {a: Counts(), b: Counts()}
+>>> seen = {a: DecayingCounts(), b: DecayingCounts()}
 >>> for _ in range(4):
-...     seen[a].add(SeenOutcome.FAILED, 0.01, now_s=0.0)
-...     seen[b].add(SeenOutcome.SERVED, 0.1, now_s=0.0)
->>> judgement = Judgement()
->>> [(str(one.incarnation), one.kind.value) for one in judgement.judge("s", seen, now_s=0.0)]
+...     seen[a].add(ObservedOutcome.FAILED, 0.01, now_s=0.0)
+...     seen[b].add(ObservedOutcome.SERVED, 0.1, now_s=0.0)
+>>> judgement = OutlierDetector()
+>>> [(str(one.incarnation), one.kind.value) for one in judgement.update("s", seen, now_s=0.0)]
 [('i-a', 'failing_all')]
->>> judgement.is_set_aside(a), judgement.may_try(a, now_s=0.1), judgement.is_set_aside(b)
+>>> judgement.is_ejected(a), judgement.may_probe(a, now_s=0.1), judgement.is_ejected(b)
 (True, False, False)
 """
 
@@ -34,7 +34,7 @@
 from enum import Enum
 
 from bellweir.hosted.incarnation import Incarnation
-from bellweir.hosted.sight.counts import Counts
+from bellweir.hosted.sight.counts import DecayingCounts
 
 MOST_SET_ASIDE = 0.5
 """Share of a service's workers: of a slow half the other half serves more than both together."""
@@ -80,7 +80,7 @@
 QUARTILE = 0.25
 
 
-class VerdictKind(Enum):
+class EjectionCause(Enum):
     """What a judgement says of a worker."""
 
     SLOW = "slow"
@@ -97,7 +97,7 @@
     """It returns since too large a part of its service is set aside."""
 
 
-class Verdict:
+class EjectionChange:
     """A change of what is believed of a worker, with what it rests upon."""
 
     __slots__ = ("counts", "fellow", "for_s", "incarnation", "kind")
@@ -105,8 +105,8 @@
     def __init__(
         self,
         incarnation: Incarnation,
-        kind: VerdictKind,
-        counts: Counts,
+        kind: EjectionCause,
+        counts: DecayingCounts,
         fellow: float = 0.0,
         for_s: float = 0.0,
     ) -> None:
@@ -131,7 +131,7 @@
 
     __slots__ = ("fellow", "kind", "severity")
 
-    def __init__(self, kind: VerdictKind, fellow: float, severity: float) -> None:
+    def __init__(self, kind: EjectionCause, fellow: float, severity: float) -> None:
         self.kind = kind
         self.fellow = fellow
         self.severity = severity
@@ -158,22 +158,22 @@
         self.trials_since_s = 0.0
         self.next_trial_s: float | None = None
         """None while it gets nothing; from then on the next trial of this process."""
-        self.baseline = Counts()
+        self.baseline = DecayingCounts()
         """What was seen until its trials began; only what came after it counts."""
 
 
-class Judgement:
+class OutlierDetector:
     """Workers that are set aside, by incarnation. Not safe for threads."""
 
     def __init__(self) -> None:
         self._standings: dict[Incarnation, _Standing] = {}
 
-    def is_set_aside(self, incarnation: Incarnation) -> bool:
+    def is_ejected(self, incarnation: Incarnation) -> bool:
         """Whether a worker gets no more than trials."""
         standing = self._standings.get(incarnation)
         return standing is not None and standing.is_aside
 
-    def may_try(self, incarnation: Incarnation, now_s: float, gateways: int = 1) -> bool:
+    def may_probe(self, incarnation: Incarnation, now_s: float, gateways: int = 1) -> bool:
         """Take a trial at a worker that is set aside; False when none is due.
 
         `gateways` share the trials; each counts its own.
@@ -186,13 +186,13 @@
         standing.next_trial_s = now_s + TRIAL_PERIOD_S * max(1, gateways)
         return True
 
-    def judge(
+    def update(
         self,
         service: str,
-        seen: Mapping[Incarnation, Counts],
+        seen: Mapping[Incarnation, DecayingCounts],
         now_s: float,
         gateways: int = 1,
-    ) -> list[Verdict]:
+    ) -> list[EjectionChange]:
         """Look at all workers of a service, those of which nothing was seen included.
 
         Returns what changed. `service` is for the caller's log alone.
@@ -201,18 +201,18 @@
         verdicts = [
             verdict
             for one, counts in counted.items()
-            if self.is_set_aside(one)
+            if self.is_ejected(one)
             and (verdict := self._judge_aside(one, counts, counted, seen, now_s, gateways))
         ]
         verdicts += self._return_surplus(counted)
         return verdicts + self._set_worst_aside(counted, now_s)
 
-    def forget_others(self, present: Collection[Incarnation]) -> None:
+    def retain(self, present: Collection[Incarnation]) -> None:
         """Drop what is believed of workers that are gone."""
         for one in [one for one in self._standings if one not in present]:
             del self._standings[one]
 
-    def _counted(self, one: Incarnation, counts: Counts, now_s: float) -> Counts:
+    def _counted(self, one: Incarnation, counts: DecayingCounts, now_s: float) -> DecayingCounts:
         """What counts of what was seen: nothing of before the last trials."""
         now = counts.as_of(now_s)
         standing = self._standings.get(one)
@@ -221,12 +221,12 @@
     def _judge_aside(
         self,
         one: Incarnation,
-        counts: Counts,
-        counted: Mapping[Incarnation, Counts],
-        seen: Mapping[Incarnation, Counts],
+        counts: DecayingCounts,
+        counted: Mapping[Incarnation, DecayingCounts],
+        seen: Mapping[Incarnation, DecayingCounts],
         now_s: float,
         gateways: int,
-    ) -> Verdict | None:
+    ) -> EjectionChange | None:
         standing = self._standings[one]
         if now_s < standing.until_s:
             return None
@@ -239,26 +239,28 @@
             return None
         finding = _finding(counts, self._fellows(counted), is_one=False)
         if finding is not None:
-            return self._set_aside(one, VerdictKind.BAD_TRIAL, counts, finding.fellow, now_s)
+            return self._set_aside(one, EjectionCause.BAD_TRIAL, counts, finding.fellow, now_s)
         is_long_well = counts.served > 0 and now_s - standing.trials_since_s >= LONG_TRIALS_S
         if counts.served >= GOOD_TRIALS or is_long_well:
-            return self._return(one, VerdictKind.GOOD_TRIALS, counts, now_s)
+            return self._return(one, EjectionCause.GOOD_TRIALS, counts, now_s)
         return None
 
-    def _return_surplus(self, counted: Mapping[Incarnation, Counts]) -> list[Verdict]:
+    def _return_surplus(
+        self, counted: Mapping[Incarnation, DecayingCounts]
+    ) -> list[EjectionChange]:
         """Let those return that are set aside beyond the bound, as after a loss of fellows."""
-        aside = [one for one in counted if self.is_set_aside(one)]
+        aside = [one for one in counted if self.is_ejected(one)]
         surplus = len(aside) - most_set_aside(len(counted))
         soonest = sorted(aside, key=lambda one: self._standings[one].until_s)
         return [
-            self._return(one, VerdictKind.TOO_MANY, counted[one], counted[one].as_of_s)
+            self._return(one, EjectionCause.TOO_MANY, counted[one], counted[one].as_of_s)
             for one in soonest[: max(0, surplus)]
         ]
 
     def _set_worst_aside(
-        self, counted: Mapping[Incarnation, Counts], now_s: float
-    ) -> list[Verdict]:
-        aside = sum(self.is_set_aside(one) for one in counted)
+        self, counted: Mapping[Incarnation, DecayingCounts], now_s: float
+    ) -> list[EjectionChange]:
+        aside = sum(self.is_ejected(one) for one in counted)
         places = most_set_aside(len(counted)) - aside
         if places <= 0:
             return []
@@ -266,7 +268,7 @@
         found = {
             one: finding
             for one, counts in counted.items()
-            if not self.is_set_aside(one) and (finding := _finding(counts, fellows, is_one=True))
+            if not self.is_ejected(one) and (finding := _finding(counts, fellows, is_one=True))
         }
         worst = sorted(found, key=lambda one: -found[one].severity)[:places]
         return [
@@ -274,12 +276,17 @@
             for one in worst
         ]
 
-    def _fellows(self, counted: Mapping[Incarnation, Counts]) -> "_Fellows":
-        return _Fellows([counts for one, counts in counted.items() if not self.is_set_aside(one)])
+    def _fellows(self, counted: Mapping[Incarnation, DecayingCounts]) -> "_Fellows":
+        return _Fellows([counts for one, counts in counted.items() if not self.is_ejected(one)])
 
     def _set_aside(
-        self, one: Incarnation, kind: VerdictKind, counts: Counts, fellow: float, now_s: float
-    ) -> Verdict:
+        self,
+        one: Incarnation,
+        kind: EjectionCause,
+        counts: DecayingCounts,
+        fellow: float,
+        now_s: float,
+    ) -> EjectionChange:
         standing = self._standings.setdefault(one, _Standing())
         if not standing.is_aside and now_s - standing.returned_s > FORGIVEN_AFTER_S:
             standing.repeats = 0
@@ -288,13 +295,15 @@
         standing.is_aside = True
         standing.until_s = now_s + for_s
         standing.next_trial_s = None
-        return Verdict(one, kind, counts, fellow, for_s)
+        return EjectionChange(one, kind, counts, fellow, for_s)
 
-    def _return(self, one: Incarnation, kind: VerdictKind, counts: Counts, now_s: float) -> Verdict:
+    def _return(
+        self, one: Incarnation, kind: EjectionCause, counts: DecayingCounts, now_s: float
+    ) -> EjectionChange:
         standing = self._standings[one]
         standing.is_aside = False
         standing.returned_s = now_s
-        return Verdict(one, kind, counts)
+        return EjectionChange(one, kind, counts)
 
 
 def most_set_aside(workers: int) -> int:
@@ -338,7 +347,7 @@
 
     __slots__ = ("failed", "judged", "medians")
 
-    def __init__(self, fellows: Sequence[Counts]) -> None:
+    def __init__(self, fellows: Sequence[DecayingCounts]) -> None:
         known = [one for one in fellows if one.judged >= FEWEST_OF_FELLOW]
         self.failed = sum(one.failed for one in known)
         self.judged = sum(one.judged for one in known)
@@ -349,14 +358,14 @@
             # The few that are known may just be the fastest kind.
             self.medians = []
 
-    def failures_without(self, own: Counts | None) -> tuple[float, float]:
+    def failures_without(self, own: DecayingCounts | None) -> tuple[float, float]:
         """Failed and judged requests of all but one; None: of all."""
         if own is None or own.judged < FEWEST_OF_FELLOW:
             return self.failed, self.judged
         return max(0.0, self.failed - own.failed), self.judged - own.judged
 
 
-def _finding(counts: Counts, fellows: _Fellows, *, is_one: bool) -> _Finding | None:
+def _finding(counts: DecayingCounts, fellows: _Fellows, *, is_one: bool) -> _Finding | None:
     """What is wrong with a worker beside its fellows; `is_one`: it is among them itself.
 
     One that is not is on trial, where less shows that it is bad still.
@@ -368,7 +377,9 @@
     return failing or _slow(counts, fellows.medians, fewest_times, is_one=is_one)
 
 
-def _failing(counts: Counts, fellows: _Fellows, fewest: float, *, is_one: bool) -> _Finding | None:
+def _failing(
+    counts: DecayingCounts, fellows: _Fellows, fewest: float, *, is_one: bool
+) -> _Finding | None:
     if counts.failed < fewest:
         return None
     failed, judged = fellows.failures_without(counts if is_one else None)
@@ -379,13 +390,13 @@
     if excess <= FAILURE_MARGIN:
         return None
     fails_all = counts.served < FEWEST_FAILURES / 4
-    kind = VerdictKind.FAILING_ALL if fails_all else VerdictKind.FAILING
+    kind = EjectionCause.FAILING_ALL if fails_all else EjectionCause.FAILING
     # A failing worker is worse than any slow one.
     return _Finding(kind, failed / judged, 1_000.0 + excess)
 
 
 def _slow(
-    counts: Counts, medians: Sequence[float], fewest: float, *, is_one: bool
+    counts: DecayingCounts, medians: Sequence[float], fewest: float, *, is_one: bool
 ) -> _Finding | None:
     if counts.served < fewest:
         return None
@@ -394,10 +405,10 @@
     surely = surely_at_least_s(counts)
     if fellow is None or surely <= SLOW_FACTOR * fellow or own - fellow < SLOW_AT_LEAST_S:
         return None
-    return _Finding(VerdictKind.SLOW, fellow, own / fellow)
+    return _Finding(EjectionCause.SLOW, fellow, own / fellow)
 
 
-def surely_at_least_s(counts: Counts) -> float:
+def surely_at_least_s(counts: DecayingCounts) -> float:
     """A time in seconds that the true median of a worker's answers surely is not below."""
     answers = max(1.0, sum(counts.buckets.values()))
     return counts.quantile_s(max(0.0, 0.5 - MEDIAN_SURENESS / math.sqrt(answers)))
--- a/src/bellweir/hosted/sight/tries.py
+++ b/src/bellweir/hosted/sight/retry_budget.py
@@ -12,17 +12,17 @@
 requests that a share of them is less than one. What the other gateways tried in the seconds that
 their word takes is not counted yet, so that the bound is passed by that much at most.
 
->>> budget = TryBudget(share=0.5)
->>> budget.allows(first=0.0, further=RESERVE_TRIES - 1), budget.allows(0.0, RESERVE_TRIES)
+>>> budget = SharedRetryBudget(share=0.5)
+>>> budget.allows(first=0.0, retries=RESERVE_RETRIES - 1), budget.allows(0.0, RESERVE_RETRIES)
 (True, False)
->>> budget.allows(first=100.0, further=55.0), TryBudget(share=0.0).allows(0.0, 1e9)
+>>> budget.allows(first=100.0, retries=55.0), SharedRetryBudget(share=0.0).allows(0.0, 1e9)
 (True, True)
 """
 
-RESERVE_TRIES = 10.0
+RESERVE_RETRIES = 10.0
 
 
-class TryBudget:
+class SharedRetryBudget:
     """Decides whether a further try may be made."""
 
     __slots__ = ("share",)
@@ -31,6 +31,6 @@
         """`share` of first tries; 0: no bound."""
         self.share = share
 
-    def allows(self, first: float, further: float) -> bool:
+    def allows(self, first: float, retries: float) -> bool:
         """Whether one more is within the budget, with what was seen of each kind lately."""
-        return not self.share or further + 1.0 <= RESERVE_TRIES + self.share * first
+        return not self.share or retries + 1.0 <= RESERVE_RETRIES + self.share * first
--- a/src/bellweir/hosted/sight/service.py
+++ b/src/bellweir/hosted/sight/service.py
@@ -7,9 +7,9 @@
 from bellweir.hosted.metrics_service import MetricsService
 from bellweir.hosted.records import WorkerState
 from bellweir.hosted.settings import HostedSettings
-from bellweir.hosted.sight.exchange import SightExchange
-from bellweir.hosted.sight.shared import Services, SharedSight
-from bellweir.hosted.sight.table import SightTable
+from bellweir.hosted.sight.exchange import ObservationExchange
+from bellweir.hosted.sight.monitor import Services, SharedWorkerMonitor
+from bellweir.hosted.sight.table import ObservationTable
 from bellweir.hosted.views.service import ViewsService
 from bellweir.kernel import names
 from bellweir.kernel.node import Kernel
@@ -20,7 +20,7 @@
 MS_PER_S = 1000
 
 
-class SightService(Service):
+class WorkerMonitorService(Service):
     """Holds the sight, tells the others and judges the workers."""
 
     name = names.SIGHT
@@ -30,12 +30,12 @@
         self._kernel = kernel
         self._settings = settings.sight
         node = settings.node
-        self._table = SightTable(node.name, node.zone, round(MS_PER_S * time.time()))
-        self._exchange: SightExchange | None = None
-        self.sight = SharedSight(
+        self._table = ObservationTable(node.name, node.zone, round(MS_PER_S * time.time()))
+        self._exchange: ObservationExchange | None = None
+        self.monitor = SharedWorkerMonitor(
             self._table,
             self._services,
-            lambda: self._exchange is not None and self._exchange.is_alone,
+            lambda: self._exchange is not None and self._exchange.is_isolated,
             sets_aside=self._settings.set_aside,
             uses_worker_load=self._settings.use_worker_load,
             try_share=self._settings.try_share,
@@ -48,14 +48,14 @@
         self._workers = registry.find(names.VIEWS, ViewsService).workers
         run_task = self._kernel.executors.run_task
         if self._settings.share:
-            self._exchange = SightExchange(
+            self._exchange = ObservationExchange(
                 registry.find(names.TRANSPORT, Transport),  # type: ignore[type-abstract]
                 registry.find(names.MEMBERSHIP, Membership),  # type: ignore[type-abstract]
                 self._table,
             )
             run_task("tell-sight", self._exchange.run)
         self._add_gauges(registry.find(names.TELEMETRY, MetricsService))
-        run_task("look-at-workers", self.sight.run)
+        run_task("look-at-workers", self.monitor.run)
 
     def stop(self) -> None:
         """The tasks end with the executors."""
@@ -77,15 +77,15 @@
         add(
             "bellweir_workers_set_aside",
             "Ready workers that do worse than their fellows and get trials only.",
-            lambda: float(self.sight.set_aside_count()),
+            lambda: float(self.monitor.set_aside_count()),
         )
         add(
             "bellweir_sight_gateways",
             "Gateways that told lately what they saw of workers, this one included.",
-            lambda: float(self.sight.gateways()),
+            lambda: float(self.monitor.gateways()),
         )
         add(
             "bellweir_sight_alone",
             "1 while no other gateway is heard that should be.",
-            lambda: float(self.sight.is_alone),
+            lambda: float(self.monitor.is_isolated),
         )
--- a/src/bellweir/hosted/sight/table.py
+++ b/src/bellweir/hosted/sight/table.py
@@ -5,14 +5,14 @@
 late or by several ways counts once at most. Ages are added up on the way, and counts halve with
 age, so what is stale counts less by itself and is forgotten at last.
 
->>> one, two = SightTable("g-1", "a", 100), SightTable("g-2", "a", 200)
+>>> one, two = ObservationTable("g-1", "a", 100), ObservationTable("g-2", "a", 200)
 >>> worker = Incarnation("i-1")
->>> one.begun(worker, now_s=0.0)
->>> one.ended(worker, SeenOutcome.SERVED, 0.1, now_s=0.1)
->>> told = one.to_tell(now_s=0.2, tells=2)
->>> [two.take(record, "a", now_s=5.0, tells=2) for record in (*told, *told)]
+>>> one.record_start(worker, now_s=0.0)
+>>> one.record_end(worker, ObservedOutcome.SERVED, 0.1, now_s=0.1)
+>>> told = one.next_records(now_s=0.2, tells=2)
+>>> [two.receive(record, "a", now_s=5.0, tells=2) for record in (*told, *told)]
 [True, False]
->>> round(two.merged(worker, now_s=5.0).served, 2), two.to_tell(now_s=5.0, tells=2)[0].age_ms
+>>> round(two.merged(worker, now_s=5.0).served, 2), two.next_records(now_s=5.0, tells=2)[0].age_ms
 (0.99, 100)
 """
 
@@ -20,9 +20,9 @@
 from collections.abc import Collection, Iterable
 
 from bellweir.hosted.incarnation import Incarnation
-from bellweir.hosted.sight.counts import Counts
-from bellweir.hosted.sight.interface import SeenOutcome
-from bellweir.hosted.sight.messages import SeenRecord, record_of
+from bellweir.hosted.sight.counts import DecayingCounts
+from bellweir.hosted.sight.interface import ObservedOutcome
+from bellweir.hosted.sight.messages import ObservationRecord, record_of
 from bellweir.hosted.sight.worker_load import WorkerLoad
 
 MOST_RECORDS_OF_MESSAGE = 12
@@ -31,11 +31,11 @@
 """About 4 MB; beyond it the oldest go."""
 FORGOTTEN_AFTER_S = 60.0
 """Counts have halved seven times by then."""
-IN_HAND_LIFE_S = 5.0
+IN_FLIGHT_MAX_AGE_S = 5.0
 """Age after which nothing that was in hand elsewhere is taken to be so any more."""
-IN_HAND_RENEWED_S = 1.5
+IN_FLIGHT_RENEWAL_S = 1.5
 """Age at which what is in hand is told again."""
-IN_HAND_HALF_S = 0.25
+IN_FLIGHT_MIN_HALF_LIFE_S = 0.25
 """Shortest time in which half of what was in hand elsewhere is taken to have ended."""
 FAILURE_CHANGE = 20.0
 """Requests that a failure outweighs when the most changed records are chosen: it stays ahead of
@@ -49,17 +49,19 @@
         "change",
         "counts",
         "crosses_left",
-        "in_hand",
+        "in_flight",
         "is_own_zone",
         "load",
         "sequence",
         "tells",
     )
 
-    def __init__(self, sequence: int, counts: Counts, in_hand: int, *, is_own_zone: bool) -> None:
+    def __init__(
+        self, sequence: int, counts: DecayingCounts, in_flight: int, *, is_own_zone: bool
+    ) -> None:
         self.sequence = sequence
         self.counts = counts
-        self.in_hand = in_hand
+        self.in_flight = in_flight
         self.is_own_zone = is_own_zone
         self.tells = 0
         """Rounds of this zone in which it is still to be told."""
@@ -70,7 +72,7 @@
         """The worker's own word and when it was given."""
 
 
-class SightTable:
+class ObservationTable:
     """The records of one node. Safe for threads."""
 
     def __init__(self, node: str, zone: str, first_sequence: int) -> None:
@@ -84,27 +86,32 @@
         self._others: dict[Incarnation, dict[str, _Held]] = {}
         self._count = 0
 
-    def begun(self, worker: Incarnation, now_s: float, *, is_further: bool = False) -> None:
+    def record_start(self, worker: Incarnation, now_s: float, *, is_further: bool = False) -> None:
         """Note that a request of this node goes to a worker, `is_further`: not as its first try."""
         with self._lock:
             held = self._own_record(worker, now_s)
-            held.in_hand += 1
-            held.counts.further += is_further
+            held.in_flight += 1
+            held.counts.retries += is_further
             self._changed_own.add(worker)
 
-    def ended(
-        self, worker: Incarnation, outcome: SeenOutcome, seconds: float, now_s: float
+    def record_end(
+        self, worker: Incarnation, outcome: ObservedOutcome, seconds: float, now_s: float
     ) -> None:
         """Note that a request of this node ended."""
         with self._lock:
             held = self._own_record(worker, now_s)
-            held.in_hand = max(0, held.in_hand - 1)
+            held.in_flight = max(0, held.in_flight - 1)
             held.counts.add(outcome, seconds, now_s)
-            held.change += FAILURE_CHANGE if outcome is SeenOutcome.FAILED else 1.0
+            held.change += FAILURE_CHANGE if outcome is ObservedOutcome.FAILED else 1.0
             self._changed_own.add(worker)
 
-    def take(
-        self, record: SeenRecord, zone: str | None, now_s: float, tells: int, crosses: int = 1
+    def receive(
+        self,
+        record: ObservationRecord,
+        zone: str | None,
+        now_s: float,
+        tells: int,
+        crosses: int = 1,
     ) -> bool:
         """Take a record that was told; False when it is no news.
 
@@ -122,7 +129,7 @@
             before = known.get(record.origin)
             if before is not None and before.sequence >= record.sequence:
                 return False
-            held = _Held(record.sequence, counts, record.in_hand, is_own_zone=zone == self._zone)
+            held = _Held(record.sequence, counts, record.in_flight, is_own_zone=zone == self._zone)
             held.load = record.worker_load(now_s)
             held.tells = tells
             held.crosses_left = crosses if held.is_own_zone else 0
@@ -131,9 +138,9 @@
             self._count += before is None
         return True
 
-    def to_tell(
+    def next_records(
         self, now_s: float, tells: int, crosses: int = 1, *, to_other_zone: bool = False
-    ) -> tuple[SeenRecord, ...]:
+    ) -> tuple[ObservationRecord, ...]:
         """The most changed records that are still to be told, each told once more by it."""
         with self._lock:
             self._renew_in_hand(now_s)
@@ -151,20 +158,20 @@
                 held.change /= 1 if to_other_zone else 2
             return tuple(
                 record_of(
-                    origin, held.sequence, worker, held.counts, held.in_hand, now_s, held.load
+                    origin, held.sequence, worker, held.counts, held.in_flight, now_s, held.load
                 )
                 for _, origin, worker, held in chosen
             )
 
-    def merged(self, worker: Incarnation, now_s: float) -> Counts:
+    def merged(self, worker: Incarnation, now_s: float) -> DecayingCounts:
         """What all gateways saw of a worker, as it weighs now."""
-        merged = Counts(as_of_s=now_s)
+        merged = DecayingCounts(as_of_s=now_s)
         with self._lock:
             for held in self._of_worker(worker):
                 merged.plus(held.counts.as_of(now_s))
         return merged
 
-    def load_told(self, worker: Incarnation, load: WorkerLoad, now_s: float) -> None:
+    def record_load(self, worker: Incarnation, load: WorkerLoad, now_s: float) -> None:
         """Note what a worker says of itself; it is told with the request that it answered."""
         with self._lock:
             self._own_record(worker, now_s).load = (load, now_s)
@@ -175,31 +182,33 @@
             told = [held.load for held in self._of_worker(worker) if held.load is not None]
             return max(told, key=lambda each: each[1], default=None)
 
-    def own_in_hand(self, worker: Incarnation) -> int:
+    def local_in_flight(self, worker: Incarnation) -> int:
         """Requests of this node at a worker."""
         with self._lock:
             own = self._own.get(worker)
-            return own.in_hand if own else 0
+            return own.in_flight if own else 0
 
-    def others_in_hand(self, worker: Incarnation, usual_s: float, now_s: float) -> float:
+    def remote_in_flight(self, worker: Incarnation, median_s: float, now_s: float) -> float:
         """Requests of other gateways at a worker, as far as they still may run.
 
-        Half of them are taken to have ended after `usual_s`, the worker's usual time.
+        Half of them are taken to have ended after `median_s`, the worker's usual time.
         """
-        half_s = max(IN_HAND_HALF_S, usual_s)
+        half_s = max(IN_FLIGHT_MIN_HALF_LIFE_S, median_s)
         with self._lock:
             others = self._others.get(worker, {}).values()
-            ages = ((held.in_hand, now_s - held.counts.as_of_s) for held in others if held.in_hand)
+            ages = (
+                (held.in_flight, now_s - held.counts.as_of_s) for held in others if held.in_flight
+            )
             return sum(
                 (
                     count * float(0.5 ** (max(0.0, age_s) / half_s))
                     for count, age_s in ages
-                    if age_s < IN_HAND_LIFE_S
+                    if age_s < IN_FLIGHT_MAX_AGE_S
                 ),
                 0.0,
             )
 
-    def told_s(self, worker: Incarnation) -> float:
+    def last_report_s(self, worker: Incarnation) -> float:
         """Time as of which another gateway spoke of a worker last; minus infinity if none did."""
         with self._lock:
             others = self._others.get(worker, {}).values()
@@ -210,7 +219,7 @@
         with self._lock:
             return set(self._own) | set(self._others)
 
-    def origins(self, now_s: float, within_s: float) -> int:
+    def active_origins(self, now_s: float, within_s: float) -> int:
         """Other gateways that saw something of a worker lately."""
         with self._lock:
             return len(
@@ -222,7 +231,7 @@
                 }
             )
 
-    def forget(self, present: Collection[Incarnation], now_s: float) -> None:
+    def evict(self, present: Collection[Incarnation], now_s: float) -> None:
         """Drop records that weigh nothing any more, and those of workers that are gone."""
         with self._lock:
             for worker in [one for one in self._others if one not in present]:
@@ -236,7 +245,8 @@
             gone = [
                 worker
                 for worker, held in self._own.items()
-                if not held.in_hand and (worker not in present or held.counts.as_of(now_s).is_empty)
+                if not held.in_flight
+                and (worker not in present or held.counts.as_of(now_s).is_empty)
             ]
             for worker in gone:
                 del self._own[worker]
@@ -252,7 +262,7 @@
 
     def _own_record(self, worker: Incarnation, now_s: float) -> _Held:
         if worker not in self._own:
-            self._own[worker] = _Held(0, Counts(as_of_s=now_s), 0, is_own_zone=True)
+            self._own[worker] = _Held(0, DecayingCounts(as_of_s=now_s), 0, is_own_zone=True)
         held = self._own[worker]
         held.counts.age_to(now_s)
         return held
@@ -260,7 +270,7 @@
     def _renew_in_hand(self, now_s: float) -> None:
         """Have what still runs told again before the others take it to have ended."""
         for worker, held in self._own.items():
-            if held.in_hand and now_s - held.counts.as_of_s > IN_HAND_RENEWED_S:
+            if held.in_flight and now_s - held.counts.as_of_s > IN_FLIGHT_RENEWAL_S:
                 held.counts.age_to(now_s)
                 self._changed_own.add(worker)
 
@@ -290,10 +300,10 @@
 def _change(before: _Held | None, now: _Held) -> float:
     """How much a record says that the one before did not."""
     counts = now.counts
-    earlier = before.counts.as_of(counts.as_of_s) if before else Counts()
+    earlier = before.counts.as_of(counts.as_of_s) if before else DecayingCounts()
     return (
         abs(counts.served - earlier.served)
         + FAILURE_CHANGE * abs(counts.failed - earlier.failed)
         + abs(counts.refused - earlier.refused)
-        + abs(now.in_hand - (before.in_hand if before else 0))
+        + abs(now.in_flight - (before.in_flight if before else 0))
     )
