--- a/bench/sight_judgements.py
+++ b/bench/sight_judgements.py
@@ -99,18 +99,18 @@
     drawn = random.Random(seed)
     workers = [Incarnation(f"i-{number}") for number in range(len(factors))]
     seen = {one: DecayingCounts() for one in workers}
-    judged = OutlierDetector()
+    detector = OutlierDetector()
     aside: set[Incarnation] = set()
     for number in range(round(SECONDS * RATE)):
         now_s = number / RATE
-        well = [one for one in workers if not judged.is_ejected(one)]
-        trial = next((one for one in workers if judged.may_probe(one, now_s)), None)
+        well = [one for one in workers if not detector.is_ejected(one)]
+        trial = next((one for one in workers if detector.may_probe(one, now_s)), None)
         one = trial or drawn.choice(well)
         place = workers.index(one)
         took_s = USUAL_S * factors[place] * drawn.lognormvariate(0.0, SPREAD)
         seen[one].add(ObservedOutcome.SERVED, took_s, now_s)
-        judged.update("s", seen, now_s)
-        aside |= {each for each in workers if judged.is_ejected(each)}
+        detector.update("s", seen, now_s)
+        aside |= {each for each in workers if detector.is_ejected(each)}
         tally.requests += 1
         tally.at_bad += place < bad
         tally.seconds += took_s
@@ -120,20 +120,20 @@
 
 def slow_by(
     reference: Reference, is_sure: bool
-) -> Callable[..., outlier_detection._Finding | None]:
+) -> Callable[..., outlier_detection._Outlier | None]:
     """The judgement's test for slowness with another bound."""
 
     def slow(
-        counts: DecayingCounts, medians: Sequence[float], fewest: float, *, is_one: bool
-    ) -> outlier_detection._Finding | None:
+        counts: DecayingCounts, medians: Sequence[float], min_count: float, *, is_included: bool
+    ) -> outlier_detection._Outlier | None:
         own = counts.quantile_s(0.5)
-        bound = reference(medians, own if is_one else None)
-        least = outlier_detection.surely_at_least_s(counts) if is_sure else own
-        if counts.served < fewest or bound is None or least <= bound:
+        bound = reference(medians, own if is_included else None)
+        least = outlier_detection.median_lower_bound_s(counts) if is_sure else own
+        if counts.served < min_count or bound is None or least <= bound:
             return None
-        if own - bound / outlier_detection.SLOW_FACTOR < outlier_detection.SLOW_AT_LEAST_S:
+        if own - bound / outlier_detection.SLOW_FACTOR < outlier_detection.MIN_SLOW_EXCESS_S:
             return None
-        return outlier_detection._Finding(outlier_detection.EjectionCause.SLOW, bound, own / bound)
+        return outlier_detection._Outlier(outlier_detection.EjectionCause.SLOW, bound, own / bound)
 
     return slow
 
--- a/features/steps/hosted_choice_steps.py
+++ b/features/steps/hosted_choice_steps.py
@@ -293,7 +293,7 @@
 
 @given_step("{gateways:d} gateways in {zones:d} zones that share their sight")
 def given_network(context, gateways, zones):
-    context.network = network = SightNetwork(gateways, zones, try_share=TRY_SHARE)
+    context.network = network = SightNetwork(gateways, zones, retry_share=TRY_SHARE)
     context.loads = [WorkerLoads("a", sight=one.monitor) for one in network.all()]
     context.entries = [worker_of(number) for number in range(len(network.workers))]
 
--- a/features/steps/hosted_judgement_steps.py
+++ b/features/steps/hosted_judgement_steps.py
@@ -11,7 +11,7 @@
 from bellweir.hosted.incarnation import Incarnation
 from bellweir.hosted.sight.counts import DecayingCounts
 from bellweir.hosted.sight.interface import ObservedOutcome
-from bellweir.hosted.sight.outlier_detection import LONGEST_ASIDE_S, OutlierDetector, most_set_aside
+from bellweir.hosted.sight.outlier_detection import MAX_EJECTION_S, OutlierDetector, max_ejected
 
 STEP_S = 0.1
 USUAL_S = 0.1
@@ -26,7 +26,7 @@
         self.random = random.Random(seed)
         self.workers = [Incarnation(f"i-{number}") for number in range(count)]
         self.seen = {one: DecayingCounts() for one in self.workers}
-        self.judgement = OutlierDetector()
+        self.detector = OutlierDetector()
         self.verdicts = []
         self.sends = dict.fromkeys(self.workers, 0)
         self.sends_aside = dict.fromkeys(self.workers, 0)
@@ -37,15 +37,15 @@
             one = self._choose(now_s)
             outcome, took_s = outcome_of(one, now_s)
             self.seen[one].add(outcome, took_s, now_s)
-            changes = self.judgement.update("s", self.seen, now_s)
+            changes = self.detector.update("s", self.seen, now_s)
             self.verdicts += [(now_s, change) for change in changes]
 
     def _choose(self, now_s):
         for one in self.workers:
-            if self.judgement.may_probe(one, now_s):
+            if self.detector.may_probe(one, now_s):
                 self.sends_aside[one] += 1
                 return one
-        well = [one for one in self.workers if not self.judgement.is_ejected(one)]
+        well = [one for one in self.workers if not self.detector.is_ejected(one)]
         one = self.random.choice(well)
         self.sends[one] += 1
         return one
@@ -77,7 +77,7 @@
 @then("within 20 s just the bad ones were set aside, and they got few requests after it")
 def then_bad_aside(context):
     load = context.load
-    aside = {change.incarnation for _, change in load.verdicts if not change.is_return}
+    aside = {change.incarnation for _, change in load.verdicts if not change.is_reinstatement}
     assert aside == context.bad, aside
     for one in context.bad:
         assert load.sends[one] <= 40, load.sends
@@ -135,9 +135,9 @@
 def then_returns(context):
     load = context.load
     assert {one.incarnation for _, one in load.verdicts} == {load.workers[0]}
-    assert not load.verdicts[0][1].is_return
-    assert load.verdicts[-1][1].is_return, load.verdicts[-1][1].kind
-    assert not load.judgement.is_ejected(load.workers[0])
+    assert not load.verdicts[0][1].is_reinstatement
+    assert load.verdicts[-1][1].is_reinstatement, load.verdicts[-1][1].kind
+    assert not load.detector.is_ejected(load.workers[0])
 
 
 @given_step("{count:d} workers are judged of which one is bad for 5 s of each 12 s")
@@ -150,11 +150,11 @@
 
 @then("each while that it is set aside within a minute of the last is longer, up to 30 s")
 def then_growing(context):
-    whiles = [one.for_s for _, one in context.load.verdicts if not one.is_return]
+    whiles = [one.for_s for _, one in context.load.verdicts if not one.is_reinstatement]
     assert len(whiles) >= 4, whiles
     assert {one.incarnation for _, one in context.load.verdicts} == {context.load.workers[0]}
     for shorter, longer in itertools.pairwise(whiles):
-        assert longer == min(LONGEST_ASIDE_S, 2 * shorter), whiles
+        assert longer == min(MAX_EJECTION_S, 2 * shorter), whiles
 
 
 EVENTS = st.lists(
@@ -175,18 +175,18 @@
     def bounded(count, events, leaves):
         workers = [Incarnation(f"i-{number}") for number in range(count)]
         seen = {one: DecayingCounts() for one in workers}
-        judgement = OutlierDetector()
+        detector = OutlierDetector()
         now_s = 0.0
         for number, (which, outcome, took_s, pause_s) in enumerate(events):
             now_s += pause_s
             if number == leaves and len(seen) > 1:
                 del seen[next(iter(seen))]
-                judgement.retain(seen)
+                detector.retain(seen)
             one = list(seen)[which % len(seen)]
             seen[one].add(outcome, took_s, now_s)
-            judgement.update("s", seen, now_s)
-            aside = sum(judgement.is_ejected(each) for each in seen)
-            assert aside <= most_set_aside(len(seen))
+            detector.update("s", seen, now_s)
+            aside = sum(detector.is_ejected(each) for each in seen)
+            assert aside <= max_ejected(len(seen))
 
     bounded()
 
@@ -216,18 +216,18 @@
 @then("a worker whose trials are 9 s apart returns within a minute of being well")
 def then_returns(context):
     bad, good = Incarnation("bad"), Incarnation("good")
-    seen, judgement = {bad: DecayingCounts(), good: DecayingCounts()}, OutlierDetector()
+    seen, detector = {bad: DecayingCounts(), good: DecayingCounts()}, OutlierDetector()
     for _ in range(4):
         seen[bad].add(ObservedOutcome.FAILED, 0.01, now_s=0.0)
         seen[good].add(ObservedOutcome.SERVED, 0.1, now_s=0.0)
-    judgement.update("s", seen, now_s=0.0)
-    assert judgement.is_ejected(bad)
+    detector.update("s", seen, now_s=0.0)
+    assert detector.is_ejected(bad)
     now_s = 0.0
-    while judgement.is_ejected(bad):
+    while detector.is_ejected(bad):
         now_s += 9.0
         assert now_s <= 60.0, "still set aside"
         seen[good].add(ObservedOutcome.SERVED, 0.1, now_s)
-        judgement.update("s", seen, now_s)
-        if judgement.may_probe(bad, now_s):
+        detector.update("s", seen, now_s)
+        if detector.may_probe(bad, now_s):
             seen[bad].add(ObservedOutcome.SERVED, 0.1, now_s)
-        judgement.update("s", seen, now_s)
+        detector.update("s", seen, now_s)
--- a/features/steps/hosted_sight_steps.py
+++ b/features/steps/hosted_sight_steps.py
@@ -13,7 +13,7 @@
 from bellweir.hosted.log_events import SIGHT_ALONE, SIGHT_SHARED
 from bellweir.hosted.sight import monitor
 from bellweir.hosted.sight.exchange import GOSSIP_INTERVAL_S, ISOLATED_AFTER_S
-from bellweir.hosted.sight.gossip_ring import rounds_to_all
+from bellweir.hosted.sight.gossip_ring import rounds_to_reach_all
 from bellweir.hosted.sight.interface import ObservedOutcome
 from bellweir.hosted.sight.monitor import SharedWorkerMonitor
 from bellweir.hosted.sight.table import IN_FLIGHT_MAX_AGE_S, ObservationTable
@@ -142,7 +142,7 @@
 
 
 def rounds_that_tell_all(context):
-    return 2 * rounds_to_all(largest_zone(context)) + context.zones
+    return 2 * rounds_to_reach_all(largest_zone(context)) + context.zones
 
 
 def have_heard(context, gateways):
@@ -160,7 +160,7 @@
 
 @then("no gateway sent more than 2 messages a round, nor kept more than the stated connections")
 def then_bounded(context):
-    stated = rounds_to_all(largest_zone(context)) + context.zones - 1
+    stated = rounds_to_reach_all(largest_zone(context)) + context.zones - 1
     for one in context.network.all():
         assert len(one.transport.sent) <= 2 * context.rounds
         assert len({address for address, _ in one.transport.sent}) <= stated
@@ -295,16 +295,16 @@
 
 @then("a sight that sets nobody aside does not, whatever fails")
 def then_nobody_aside(context):
-    for sets_aside in (True, False):
-        sight = lone_sight(sets_aside=sets_aside)
+    for ejects in (True, False):
+        sight = lone_sight(ejects=ejects)
         see_one_fail(sight)
-        assert sight.stats(WORKERS[0]).is_ejected == sets_aside
+        assert sight.stats(WORKERS[0]).is_ejected == ejects
 
 
 @then("a sight without a bound allows any number of further tries")
 def then_unbound(context):
     for share in (0.5, 0.0):
-        sight = lone_sight(try_share=share)
+        sight = lone_sight(retry_share=share)
         see_one_fail(sight)
         assert sight.may_retry(SERVICE) == (share == 0.0)
 
--- a/features/support/sight_nodes.py
+++ b/features/support/sight_nodes.py
@@ -79,7 +79,7 @@
             lambda: {SERVICE: network.workers},
             lambda: self.exchange.is_isolated,
             now_s,
-            try_share=network.try_share,
+            retry_share=network.retry_share,
         )
 
     def see(self, worker, outcome, seconds=SPENT_S):
@@ -90,8 +90,8 @@
 class SightNetwork:
     """Gateways `g-0`, `g-1` and so on, shared evenly among zones."""
 
-    def __init__(self, gateways, zones, workers=4, try_share=0.0):
-        self.try_share = try_share
+    def __init__(self, gateways, zones, workers=4, retry_share=0.0):
+        self.retry_share = retry_share
         self.now_s = 100.0
         self.cut = set()
         self.older = set()
--- a/src/bellweir/hosted/sight/__init__.py
+++ b/src/bellweir/hosted/sight/__init__.py
@@ -1,1 +1,1 @@
-"""Sight: what the gateways of a deployment saw of its workers, shared among them."""
+"""Statistics of workers, shared among the gateways of a deployment."""
--- a/src/bellweir/hosted/sight/counts.py
+++ b/src/bellweir/hosted/sight/counts.py
@@ -1,8 +1,8 @@
-"""What was seen of one worker: outcomes and times of answers, each weighing less as it ages.
+"""Exponentially decaying counts of the outcomes and latencies of one worker's requests.
 
-All figures halve every `HALF_LIFE_S`. Sums of such counts stay exact when both are as of the same
-time, and so do differences: what was seen since a moment is what is seen now, less what was seen
-then as it weighs now.
+All weights halve every `HALF_LIFE_S`. Counts as of the same time can be added and subtracted
+exactly: what was observed since an earlier time is the current counts less the earlier ones,
+decayed to now.
 
 >>> counts = DecayingCounts()
 >>> for seconds in (0.1, 0.1, 0.4): counts.add(ObservedOutcome.SERVED, seconds, now_s=0.0)
@@ -18,18 +18,16 @@
 from bellweir.hosted.sight.interface import ObservedOutcome
 
 HALF_LIFE_S = 8.0
-"""Longer than it takes a worker to get some requests from all gateways, shorter than an incident
-lasts that callers notice."""
-SHORTEST_S = 0.002
-"""Upper bound of the first bucket of times."""
-BUCKETS = 36
-"""Half octaves: up to 370 s, beyond the longest time that a route allows."""
-NOTHING = 0.01
-"""Weights below this are dropped."""
+FIRST_BUCKET_S = 0.002
+"""Upper bound of the first latency bucket."""
+BUCKET_COUNT = 36
+"""Two buckets per octave, up to 370 s: beyond the longest timeout of a route."""
+MIN_WEIGHT = 0.01
+"""Lower weights are dropped."""
 
 
 class DecayingCounts:
-    """Decaying counts of outcomes and a histogram of answers' times, as of `as_of_s`.
+    """Counts of outcomes and a latency histogram, as of `as_of_s`.
 
     Not safe for threads.
     """
@@ -45,7 +43,7 @@
         as_of_s: float = 0.0,
         retries: float = 0.0,
     ) -> None:
-        """`retries`: those of the requests that were not a request's first try."""
+        """`retries`: requests that were not the first attempt."""
         self.retries = retries
         self.served = served
         self.failed = failed
@@ -54,22 +52,23 @@
         self.as_of_s = as_of_s
 
     @property
-    def judged(self) -> float:
-        """Requests that tell whether the worker is well."""
+    def completed(self) -> float:
+        """Requests whose outcome says something about the worker's health."""
         return self.served + self.failed
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing is left that weighs."""
-        return self.judged + self.refused < NOTHING
+        """Whether the remaining weight is negligible."""
+        return self.completed + self.refused < MIN_WEIGHT
 
     def add(self, outcome: ObservedOutcome, seconds: float, now_s: float) -> None:
-        """Count a request that ended.
+        """Count a finished request.
 
-        Served ones tell a time, and so do late ones, which took as long at least: without them
-        the answers that are waited for would look ever shorter.
+        Late requests count in the latency histogram with the time until they were given up, a lower
+        bound. Without them, timeouts derived from the histogram would shrink with every request
+        given up.
         """
-        self.age_to(now_s)
+        self.decay_to(now_s)
         if outcome in (ObservedOutcome.SERVED, ObservedOutcome.LATE):
             bucket = bucket_of(seconds)
             self.buckets[bucket] = self.buckets.get(bucket, 0.0) + 1.0
@@ -80,8 +79,8 @@
         elif outcome is ObservedOutcome.REFUSED:
             self.refused += 1.0
 
-    def age_to(self, now_s: float) -> None:
-        """Let the counts weigh what they do at a later time; an earlier one changes nothing."""
+    def decay_to(self, now_s: float) -> None:
+        """Decay the counts to a later time; an earlier time has no effect."""
         if now_s <= self.as_of_s:
             return
         factor = 0.5 ** ((now_s - self.as_of_s) / HALF_LIFE_S)
@@ -91,18 +90,18 @@
         self.refused *= factor
         self.retries *= factor
         aged = ((bucket, weight * factor) for bucket, weight in self.buckets.items())
-        self.buckets = {bucket: weight for bucket, weight in aged if weight >= NOTHING}
+        self.buckets = {bucket: weight for bucket, weight in aged if weight >= MIN_WEIGHT}
 
     def as_of(self, now_s: float) -> "DecayingCounts":
-        """A copy that weighs what it does at a later time."""
+        """A copy decayed to a later time."""
         copied = DecayingCounts(
             self.served, self.failed, self.refused, self.buckets, self.as_of_s, self.retries
         )
-        copied.age_to(now_s)
+        copied.decay_to(now_s)
         return copied
 
-    def plus(self, other: "DecayingCounts") -> None:
-        """Add counts that are as of the same time."""
+    def merge(self, other: "DecayingCounts") -> None:
+        """Add counts as of the same time."""
         self.served += other.served
         self.failed += other.failed
         self.refused += other.refused
@@ -111,7 +110,7 @@
             self.buckets[bucket] = self.buckets.get(bucket, 0.0) + weight
 
     def since(self, earlier: "DecayingCounts") -> "DecayingCounts":
-        """What was seen after `earlier`; nothing is ever below zero."""
+        """What was observed after `earlier`; no weight is negative."""
         before = earlier.as_of(self.as_of_s)
         left = {
             bucket: weight - before.buckets.get(bucket, 0.0)
@@ -121,40 +120,40 @@
             max(0.0, self.served - before.served),
             max(0.0, self.failed - before.failed),
             max(0.0, self.refused - before.refused),
-            {bucket: weight for bucket, weight in left.items() if weight >= NOTHING},
+            {bucket: weight for bucket, weight in left.items() if weight >= MIN_WEIGHT},
             self.as_of_s,
             max(0.0, self.retries - before.retries),
         )
 
     def quantile_s(self, share: float) -> float:
-        """Time in seconds within which a share of the answers came; 0 without answers.
+        """Latency quantile in seconds; 0 without answers.
 
-        The middle of a bucket, so within a fifth of the true one.
+        Returns the middle of a bucket, within 20% of the exact quantile.
         """
         wanted = share * sum(self.buckets.values())
         passed = 0.0
         for bucket in sorted(self.buckets):
             passed += self.buckets[bucket]
             if passed >= wanted:
-                return middle_s(bucket)
+                return bucket_middle_s(bucket)
         return 0.0
 
 
 def bucket_of(seconds: float) -> int:
-    """The bucket of a time.
+    """Index of the bucket for a latency.
 
     >>> bucket_of(0.0), bucket_of(0.002), bucket_of(0.0021), bucket_of(1e9)
     (0, 0, 1, 35)
     """
-    if seconds <= SHORTEST_S:
+    if seconds <= FIRST_BUCKET_S:
         return 0
-    return min(BUCKETS - 1, math.ceil(2 * math.log2(seconds / SHORTEST_S)))
+    return min(BUCKET_COUNT - 1, math.ceil(2 * math.log2(seconds / FIRST_BUCKET_S)))
 
 
-def middle_s(bucket: int) -> float:
-    """The time that stands for a bucket, in seconds.
+def bucket_middle_s(bucket: int) -> float:
+    """Latency in seconds that represents a bucket.
 
-    >>> bucket_of(middle_s(7))
+    >>> bucket_of(bucket_middle_s(7))
     7
     """
-    return SHORTEST_S * float(2 ** (bucket / 2 - 0.25))
+    return FIRST_BUCKET_S * float(2 ** (bucket / 2 - 0.25))
--- a/src/bellweir/hosted/sight/exchange.py
+++ b/src/bellweir/hosted/sight/exchange.py
@@ -1,19 +1,19 @@
-"""Tells other gateways what was seen of workers, and hears them.
+"""Gossips observations of workers among gateways.
 
-Twice in `GOSSIP_INTERVAL_S` at most a gateway sends one message: to a fellow of its zone and to a gateway of
-another zone, as `fellows` says, and only while there is something to tell. With Z zones of n
-gateways that together see R changes a second of their W workers, a gateway sends
+Every `GOSSIP_INTERVAL_S` a gateway sends at most one message to a peer of its own zone and one to a
+peer of another zone (see `gossip_ring`), and none without new records. With Z zones of n gateways
+that together record R changes per second of their W workers, a gateway sends
 
-    messages a second <= 2 / PERIOD_S
-    records a second <= min(MOST_RECORDS_OF_MESSAGE * 2 / PERIOD_S, R * (log2 n + 1))
+    messages per second <= 2 / GOSSIP_INTERVAL_S
+    records per second <= min(MAX_RECORDS_PER_MESSAGE * 2 / GOSSIP_INTERVAL_S, R * (log2 n + 1))
 
-whatever W is, keeps `log2 n + Z - 1` connections for it, and holds `min(n * Z * W, MOST_RECORDS)`
-records. What one saw has reached its zone after `log2 n` rounds;
-it tells each other zone once itself, and each that relays it in its zone tells one other zone.
+keeps `log2 n + Z - 1` connections and holds `min(n * Z * W, MAX_RECORDS)` records. A record reaches
+all gateways of its zone within `log2 n` rounds. Its origin sends it once to each other zone, and
+each gateway that relays it in its zone sends it to one other zone.
 
-A peer gets a first message as a request. One that answers knows such messages and gets one-way
-ones from then on; one that refuses is left out of the ring for a while. To an older build the
-transport sends nothing of it and says the same.
+The first message to a peer is a request. Peers that answer get one-way messages from then on; peers
+that refuse, such as older builds, are skipped for `UNSUPPORTED_BACKOFF_S`. The transport reports
+the same refusal, without sending, for builds known not to support the message.
 """
 
 import threading
@@ -24,11 +24,11 @@
 
 from bellweir.hosted.sight.gossip_ring import (
     GatewayPeer,
-    in_other_zone,
-    in_zone,
-    place_of,
-    rings,
-    rounds_to_all,
+    position_of,
+    remote_peer,
+    rounds_to_reach_all,
+    zone_peer,
+    zone_rings,
 )
 from bellweir.hosted.sight.messages import SightHeard, SightNews
 from bellweir.hosted.sight.table import ObservationTable
@@ -36,17 +36,16 @@
 from bellweir.wire.interface import Sender, Transport, WireErrorKind
 
 GOSSIP_INTERVAL_S = 0.5
-"""What one of 25 gateways of a zone saw is known to all of them 2.5 s later."""
-ASK_TIMEOUT_S = 0.25
-REFUSED_FOR_S = 30.0
-"""Time for which a peer that does not know the messages is left out; it may be replaced."""
-NO_ANSWER_FOR_S = 2.0
+HANDSHAKE_TIMEOUT_S = 0.25
+UNSUPPORTED_BACKOFF_S = 30.0
+"""How long a peer that does not support the messages is skipped; it may be upgraded meanwhile."""
+NO_ANSWER_BACKOFF_S = 2.0
 ISOLATED_AFTER_S = 5.0
-"""Time without a word in which this node had something to tell: others have then, too."""
+"""Silence while this node had records to send, which means that peers had some, too."""
 
 
 class ObservationExchange:
-    """One node's part."""
+    """Sends and receives the observations of one gateway."""
 
     def __init__(
         self,
@@ -60,107 +59,111 @@
         self._table = table
         self._now_s = now_s
         self._lock = threading.Lock()
-        self._speakers: set[str] = set()
-        """Addresses of peers that know the messages."""
-        self._left_out_until_s: dict[str, float] = {}
+        self._supporting: set[str] = set()
+        """Addresses of peers that support the messages."""
+        self._backoff_until_s: dict[str, float] = {}
         self._round = 0
-        self._heard_s = now_s()
+        self._last_heard_s = now_s()
         self._silence_s = 0.0
-        """Time in which this node had something to tell and heard nothing."""
-        self._looked_s = now_s()
-        transport.register(SightNews, self._on_news)
+        """Time in which this node sent records and received none."""
+        self._last_round_s = now_s()
+        transport.register(SightNews, self._on_records)
 
     @property
     def is_isolated(self) -> bool:
-        """Whether others are there, and none was heard while this node had something to tell."""
+        """Whether this node sent records for `ISOLATED_AFTER_S` without receiving any."""
         return self._silence_s >= ISOLATED_AFTER_S
 
     def run(self, stopping: threading.Event) -> None:
-        """Tell what is new until `stopping`. One task."""
+        """Run gossip rounds until `stopping` is set."""
         while not stopping.wait(GOSSIP_INTERVAL_S):
             self.run_round()
 
     def run_round(self) -> None:
-        """One round: a message to a fellow of the zone and to one of another zone."""
+        """Send pending records to one peer of the own zone and one of another zone."""
         own = self._membership.self_member()
-        found = rings(self._membership.members())
-        self._forget_gone({one.address for ring in found.values() for one in ring})
-        willing = {zone: self._willing(ring, own.node) for zone, ring in found.items()}
-        ring = willing.pop(own.zone, [])
-        others = {zone: each for zone, each in willing.items() if each}
-        place = place_of(ring, own.node)
-        number, self._round = self._round, self._round + 1
-        # A lone gateway of a zone has nobody there to tell, and each other zone still counts once.
-        tells = rounds_to_all(len(ring)) if len(ring) > 1 else 0
-        crosses = len(others)
-        has_told = self._tell_one(in_zone(ring, own.node, number), tells, crosses, False)
-        has_told |= self._tell_one(in_other_zone(others, place, number), tells, crosses, True)
-        self._note_silence(has_told)
-
-    def _tell_one(
-        self, fellow: GatewayPeer | None, tells: int, crosses: int, to_other_zone: bool
+        found = zone_rings(self._membership.members())
+        self._retain({one.address for ring in found.values() for one in ring})
+        available = {zone: self._available(ring, own.node) for zone, ring in found.items()}
+        ring = available.pop(own.zone, [])
+        others = {zone: each for zone, each in available.items() if each}
+        position = position_of(ring, own.node)
+        round_number, self._round = self._round, self._round + 1
+        # A gateway alone in its zone has no local peer, but sends to each other zone once.
+        local_rounds = rounds_to_reach_all(len(ring)) if len(ring) > 1 else 0
+        remote_sends = len(others)
+        has_sent = self._send_records(
+            zone_peer(ring, own.node, round_number), local_rounds, remote_sends, False
+        )
+        has_sent |= self._send_records(
+            remote_peer(others, position, round_number), local_rounds, remote_sends, True
+        )
+        self._update_silence(has_sent)
+
+    def _send_records(
+        self, peer: GatewayPeer | None, local_rounds: int, remote_sends: int, to_other_zone: bool
     ) -> bool:
-        if fellow is None:
+        if peer is None:
             return False
         records = self._table.next_records(
-            self._now_s(), tells, crosses, to_other_zone=to_other_zone
+            self._now_s(), local_rounds, remote_sends, to_other_zone=to_other_zone
         )
         if not records:
             return False
-        news = SightNews(records)
-        if fellow.address in self._speakers:
-            self._transport.send(fellow.address, news)
+        message = SightNews(records)
+        if peer.address in self._supporting:
+            self._transport.send(peer.address, message)
         else:
-            self._ask(fellow.address, news)
+            self._handshake(peer.address, message)
         return True
 
-    def _ask(self, address: str, news: SightNews) -> None:
-        """Send a first message to a peer, and learn whether it knows such messages."""
-        match self._transport.request(address, news, ASK_TIMEOUT_S):
+    def _handshake(self, address: str, message: SightNews) -> None:
+        """Send the first message to a peer as a request, to learn whether it supports them."""
+        match self._transport.request(address, message, HANDSHAKE_TIMEOUT_S):
             case Success(SightHeard()):
-                self._speakers.add(address)
+                self._supporting.add(address)
             case Failure(error) if error.kind is WireErrorKind.REFUSED:
-                self._leave_out(address, REFUSED_FOR_S)
+                self._back_off(address, UNSUPPORTED_BACKOFF_S)
             case _:
-                self._leave_out(address, NO_ANSWER_FOR_S)
+                self._back_off(address, NO_ANSWER_BACKOFF_S)
 
-    def _leave_out(self, address: str, for_s: float) -> None:
+    def _back_off(self, address: str, for_s: float) -> None:
         with self._lock:
-            self._left_out_until_s[address] = self._now_s() + for_s
+            self._backoff_until_s[address] = self._now_s() + for_s
 
-    def _willing(self, ring: Sequence[GatewayPeer], own: str) -> list[GatewayPeer]:
-        """Those of a ring that are not left out now, this node always among its own."""
+    def _available(self, ring: Sequence[GatewayPeer], own: str) -> list[GatewayPeer]:
+        """Peers of a ring that are not in backoff, and this node in its own ring."""
         now_s = self._now_s()
         with self._lock:
-            until_s = self._left_out_until_s
+            until_s = self._backoff_until_s
             return [
                 one for one in ring if one.node == own or until_s.get(one.address, 0.0) <= now_s
             ]
 
-    def _forget_gone(self, addresses: set[str]) -> None:
-        """A peer that was gone may be another build when it is back."""
+    def _retain(self, addresses: set[str]) -> None:
+        """Forget peers that left: they may come back with another build."""
         with self._lock:
-            self._speakers &= addresses
-            for address in [one for one in self._left_out_until_s if one not in addresses]:
-                del self._left_out_until_s[address]
+            self._supporting &= addresses
+            for address in [one for one in self._backoff_until_s if one not in addresses]:
+                del self._backoff_until_s[address]
 
-    def _note_silence(self, has_told: bool) -> None:
+    def _update_silence(self, has_sent: bool) -> None:
         now_s = self._now_s()
-        passed_s, self._looked_s = now_s - self._looked_s, now_s
+        elapsed_s, self._last_round_s = now_s - self._last_round_s, now_s
         with self._lock:
-            if has_told:
-                self._silence_s += min(passed_s, 2 * GOSSIP_INTERVAL_S)
+            if has_sent:
+                self._silence_s += min(elapsed_s, 2 * GOSSIP_INTERVAL_S)
 
-    def _on_news(self, sender: Sender, news: SightNews) -> SightHeard:
+    def _on_records(self, sender: Sender, message: SightNews) -> SightHeard:
         now_s = self._now_s()
-        ring = rings(self._membership.members()).get(self._membership.self_member().zone, [])
-        tells = rounds_to_all(len(ring)) if len(ring) > 1 else 0
+        ring = zone_rings(self._membership.members()).get(self._membership.self_member().zone, [])
+        local_rounds = rounds_to_reach_all(len(ring)) if len(ring) > 1 else 0
         with self._lock:
             self._silence_s = 0.0
-            self._left_out_until_s.pop(sender.address, None)
-            self._speakers.add(sender.address)
-        for record in news.records:
+            self._backoff_until_s.pop(sender.address, None)
+            self._supporting.add(sender.address)
+        for record in message.records:
             origin = self._membership.member(record.origin)
             zone = origin.zone if origin is not None else None
-            self._table.receive(record, zone, now_s, tells)
+            self._table.receive(record, zone, now_s, local_rounds)
         return SightHeard()
--- a/src/bellweir/hosted/sight/interface.py
+++ b/src/bellweir/hosted/sight/interface.py
@@ -1,7 +1,8 @@
-"""What is known of workers from the requests of all gateways, as typed values and abstract class.
+"""Typed values and abstract class for the shared statistics of workers.
 
-A gateway of many sends each worker little, so that its own requests tell next to nothing of the
-worker's load or health. What gateways tell each other carries its age; what is old counts less.
+With many gateways, each sends so few requests to a worker that its own observations say little
+about the worker's load or health. Gateways therefore share theirs; observations carry their age and
+decay.
 """
 
 from abc import ABC, abstractmethod
@@ -12,22 +13,23 @@
 
 
 class ObservedOutcome(Enum):
-    """How a request at a worker ended, as far as it tells of the worker."""
+    """How a request at a worker ended, as evidence of the worker's health."""
 
     SERVED = "served"
-    """A whole answer that is no failure of the worker's."""
+    """A complete answer that is not a failure of the worker."""
     FAILED = "failed"
-    """The worker's own failure, an answer that was cut, or none in time."""
+    """A failure of the worker, a truncated answer, or a timeout."""
     LATE = "late"
-    """Given up since no answer came in the time that fellows take; also a failure."""
+    """Given up because it took longer than the service's workers usually take; counts as a failure.
+    """
     REFUSED = "refused"
-    """The worker said that it did not run the request."""
+    """The worker answered that it did not run the request."""
     UNKNOWN = "unknown"
-    """Ended by this side, before the worker could show anything."""
+    """Ended by the gateway or its client before the worker showed anything."""
 
 
 class WorkerStats:
-    """What is known of one incarnation of a worker now."""
+    """Statistics of one incarnation of a worker at this moment."""
 
     __slots__ = (
         "age_s",
@@ -52,12 +54,11 @@
         load: WorkerLoad | None = None,
         load_age_s: float = float("inf"),
     ) -> None:
-        """`in_flight`: requests of all gateways that were heard of, this one's included.
+        """`in_flight`: known requests of all gateways, this one included.
 
-        `median_s` and `p95_s` are the median and the 95th percentile of its answers' times in
-        seconds; 0 while unknown. `age_s` is the age of the newest word of another gateway. A
-        worker that `is_ejected` did worse than its fellows and gets no more than trials.
-        `load` is what the worker last said of itself to any gateway, `load_age_s` ago.
+        `median_s` and `p95_s` are latency quantiles in seconds, 0 while unknown. `age_s` is the age
+        of the newest report of another gateway. A worker that `is_ejected` gets probe requests
+        only. `load` is what the worker last reported to any gateway, `load_age_s` ago.
         """
         self.load = load
         self.load_age_s = load_age_s
@@ -70,49 +71,49 @@
 
 
 class WorkerMonitor(ABC):
-    """What this node knows of workers, from its own requests and from those of others."""
+    """Statistics of workers from the requests of this node and of the other gateways."""
 
     @abstractmethod
     def record_start(self, service: str, incarnation: Incarnation) -> None:
-        """Note that a request goes to a worker of a service; `ended` follows."""
+        """Record the first attempt of a request at a worker; `record_end` must follow."""
 
     @abstractmethod
     def record_end(
         self, incarnation: Incarnation, outcome: ObservedOutcome, seconds: float
     ) -> None:
-        """Note that a request ended after `seconds` at the worker."""
+        """Record that an attempt ended after `seconds`."""
 
     @abstractmethod
     def record_load(self, incarnation: Incarnation, load: WorkerLoad) -> None:
-        """Note what a worker says of itself now."""
+        """Record the load that a worker reports about itself."""
 
     @abstractmethod
     def stats(self, incarnation: Incarnation) -> WorkerStats:
-        """What is known of a worker now; an empty one for a worker that nobody spoke of."""
+        """The current statistics of a worker; empty for an unknown worker."""
 
     @abstractmethod
     def may_probe(self, incarnation: Incarnation) -> bool:
-        """Whether a worker that is set aside may get a trial request now; takes the trial."""
+        """Whether a probe request to an ejected worker is due; if so, claims it."""
 
     @abstractmethod
     def record_retry(self, service: str, incarnation: Incarnation) -> None:
-        """The same as `record_start` for a further try of a request."""
+        """Record a retry of a request at a worker; `record_end` must follow."""
 
     @abstractmethod
     def record_retry_refused(self, service: str) -> None:
-        """Note that a request gets no further try since the budget is spent."""
+        """Record that a request was not retried because the retry budget is spent."""
 
     @abstractmethod
     def may_retry(self, service: str) -> bool:
-        """Whether a further try is within the budget of the service."""
+        """Whether the service's retry budget allows a retry."""
 
     @abstractmethod
     def service_p95_s(self, service: str) -> float:
-        """The 95th percentile in seconds that the sound workers of a service have; 0: unknown."""
+        """95th percentile latency in seconds of workers not ejected; 0 while unknown."""
 
     @abstractmethod
     def service_median_s(self, service: str) -> float:
-        """The median in seconds that the sound workers of a service have; 0: unknown."""
+        """Median latency in seconds of the workers not ejected; 0 while unknown."""
 
     @property
     @abstractmethod
--- a/src/bellweir/hosted/sight/outlier_detection.py
+++ b/src/bellweir/hosted/sight/outlier_detection.py
@@ -1,29 +1,25 @@
-"""Decides which workers of a service are set aside, by comparison with their fellows.
+"""Ejects workers that are slower or fail more often than the other workers of their service.
 
-The load: plain requests of many gateways at workers of which some are slow, some fail a share of
-what they get, and some fail everything while their entries say that they are well. A worker that
-fails at once always has room and would draw most requests of a choice by load.
+Workers are compared with each other at the same time, never with a fixed threshold: if all are slow
+or all fail, as in a burst or an outage of a shared dependency, none is ejected. A worker's median
+latency is compared with the lower quartile of the medians, so that a slow half of the service does
+not define normal. Its failure rate is compared with that of all others together, since some
+requests fail at any worker. At most `MAX_EJECTED_SHARE` of a service is ejected, the worst first.
 
-A worker is compared with what its fellows do at the same time, never with a fixed bound: where all
-are slow or all fail, as in a burst or when what they rest upon is away, nobody is set aside, since
-nobody would serve better. Medians are compared with the fellow's at the lower quartile, so that a
-slow half does not hide itself; failures with those of all fellows together, since some requests
-fail wherever they go, and with few of them the best fellow looks better than it is. At most
-`MOST_SET_ASIDE` of a service is set aside, the worst first: what is left must carry the load.
-
-A worker that is set aside gets nothing for a while, then trials, few for all gateways together. It
-returns after some good ones and is set aside for twice as long after a bad one.
+An ejected worker gets no requests for a while, then probe requests, at a rate shared by all
+gateways. It is reinstated after successful probes, and ejected for twice as long after a bad one.
 
 >>> from bellweir.hosted.sight.interface import ObservedOutcome
 >>> a, b = Incarnation("i-a"), Incarnation("i-b")
->>> seen = {a: DecayingCounts(), b: DecayingCounts()}
+>>> observed = {a: DecayingCounts(), b: DecayingCounts()}
 >>> for _ in range(4):
-...     seen[a].add(ObservedOutcome.FAILED, 0.01, now_s=0.0)
-...     seen[b].add(ObservedOutcome.SERVED, 0.1, now_s=0.0)
->>> judgement = OutlierDetector()
->>> [(str(one.incarnation), one.kind.value) for one in judgement.update("s", seen, now_s=0.0)]
+...     observed[a].add(ObservedOutcome.FAILED, 0.01, now_s=0.0)
+...     observed[b].add(ObservedOutcome.SERVED, 0.1, now_s=0.0)
+>>> detector = OutlierDetector()
+>>> changes = detector.update("s", observed, now_s=0.0)
+>>> [(str(change.incarnation), change.cause.value) for change in changes]
 [('i-a', 'failing_all')]
->>> judgement.is_ejected(a), judgement.may_probe(a, now_s=0.1), judgement.is_ejected(b)
+>>> detector.is_ejected(a), detector.may_probe(a, now_s=0.1), detector.is_ejected(b)
 (True, False, False)
 """
 
@@ -36,396 +32,411 @@
 from bellweir.hosted.incarnation import Incarnation
 from bellweir.hosted.sight.counts import DecayingCounts
 
-MOST_SET_ASIDE = 0.5
-"""Share of a service's workers: of a slow half the other half serves more than both together."""
-FEWEST_FAILURES = 1.8
-"""Two within a second or two: one may be chance or the request's own fault."""
-FEWEST_TIMES = 2.5
-"""Answers before a worker's median tells anything."""
-FEWEST_OF_FELLOW = 1.5
-"""Requests before a worker is one to compare failures with."""
-FEWEST_TIMES_OF_FELLOW = 4.0
-"""Answers before its median is one to compare with."""
-SHARE_KNOWN = 0.5
-"""Share of the workers in good standing whose medians must be known before any is compared."""
-MEDIAN_SURENESS = 0.75
-"""Over the root of the number of answers: by so much the rank that is compared lies below the
-middle of a worker's own answers. Of a median that is one and a half standard deviations; few
-answers that happen to be long don't make a worker slow."""
+MAX_EJECTED_SHARE = 0.5
+"""Share of a service's workers; the others have to carry the load."""
+MIN_FAILURES = 1.8
+"""Two recent failures: a single one may be the fault of the request."""
+MIN_ANSWERS = 2.5
+"""Answers required for the median of the worker under test."""
+MIN_REFERENCE_REQUESTS = 1.5
+"""Requests required for a worker to count in the reference failure rate."""
+MIN_REFERENCE_ANSWERS = 4.0
+"""Answers required for a worker's median to count in the reference."""
+MIN_KNOWN_SHARE = 0.5
+"""Share of the workers not ejected whose medians must be known before any is compared."""
+MEDIAN_RANK_MARGIN = 0.75
+"""Divided by the square root of the number of answers: how far below 0.5 the quantile that is
+compared lies, about 1.5 standard deviations of a sample median."""
 SLOW_FACTOR = 3.0
-"""Above the unlikeness of sound workers of several kinds, which batch and differ by 2 to 2.5."""
-SLOW_AT_LEAST_S = 0.05
-"""Callers don't notice less."""
-FAILURE_MARGIN = 0.05
-"""Share of failures that a worker must surely have above its fellows'."""
-FELLOWS_SURENESS = 1.0
-"""Standard deviations above the share of all fellows: requests that fail wherever they go hit one
-worker more often than another by chance."""
-SURENESS = 2.6
-"""Standard deviations: a sound worker is taken for a failing one about once in 200 times."""
-FIRST_ASIDE_S = 2.0
-"""A stop or restart of a worker is over in about this time."""
-LONGEST_ASIDE_S = 30.0
-TRIAL_PERIOD_S = 1.5
-"""Time between two trials of all gateways together; a trial may cost its caller a second try."""
-GOOD_TRIALS = 2.0
-"""Weight of good trials before the return."""
-LONG_TRIALS_S = 20.0
-"""Time of trials after which one good one is enough: where few requests come, two weigh less than
-two by the time that the second one ends."""
-BAD_TRIAL = 0.7
-"""Weight of a failed one after which the worker is set aside again."""
-FORGIVEN_AFTER_S = 60.0
-"""Time after a return in which the next while is longer than the last."""
+"""Workers on different hardware may differ by a smaller factor without being outliers."""
+MIN_SLOW_EXCESS_S = 0.05
+"""Smaller differences do not matter to clients."""
+MIN_FAILURE_EXCESS = 0.05
+"""Minimum difference of the lower bound of a worker's failure rate to the reference."""
+REFERENCE_Z = 1.0
+"""Standard deviations added to the reference failure rate."""
+FAILURE_Z = 2.6
+"""Standard deviations subtracted from the failure rate of the worker under test."""
+MIN_EJECTION_S = 2.0
+MAX_EJECTION_S = 30.0
+PROBE_INTERVAL_S = 1.5
+"""Between two probes of all gateways together; a failed probe costs its client a retry."""
+MIN_GOOD_PROBES = 2.0
+"""Weight of successful probes required for reinstatement."""
+LONG_PROBING_S = 20.0
+"""Probing time after which one successful probe suffices: with rare requests, probes decay before
+their weight reaches `MIN_GOOD_PROBES`."""
+BAD_PROBE_WEIGHT = 0.7
+"""Weight of failed or slow probes that ejects the worker again."""
+BACKOFF_RESET_S = 60.0
+"""Time without ejection after which the backoff starts anew."""
 QUARTILE = 0.25
 
 
 class EjectionCause(Enum):
-    """What a judgement says of a worker."""
+    """Why a worker was ejected or reinstated."""
 
     SLOW = "slow"
-    """Its median answer takes several times that of a fellow."""
+    """Its median latency is several times the reference."""
     FAILING = "failing"
-    """It fails a larger share than its fellows."""
+    """Its failure rate exceeds that of the other workers."""
     FAILING_ALL = "failing_all"
-    """It fails everything."""
-    BAD_TRIAL = "bad_trial"
-    """A trial showed it as bad as before."""
-    GOOD_TRIALS = "good_trials"
-    """It returns after trials."""
+    """All its requests fail."""
+    BAD_PROBE = "bad_trial"
+    """A probe showed that it is still slow or failing."""
+    GOOD_PROBES = "good_trials"
+    """Reinstated after successful probes."""
     TOO_MANY = "too_many"
-    """It returns since too large a part of its service is set aside."""
+    """Reinstated because too many workers of the service are ejected."""
 
 
 class EjectionChange:
-    """A change of what is believed of a worker, with what it rests upon."""
+    """An ejection or reinstatement of a worker, with its evidence."""
 
-    __slots__ = ("counts", "fellow", "for_s", "incarnation", "kind")
+    __slots__ = ("cause", "counts", "for_s", "incarnation", "reference")
 
     def __init__(
         self,
         incarnation: Incarnation,
-        kind: EjectionCause,
+        cause: EjectionCause,
         counts: DecayingCounts,
-        fellow: float = 0.0,
+        reference: float = 0.0,
         for_s: float = 0.0,
     ) -> None:
-        """`fellow` is the fellow's median in seconds, or the fellows' share of failures.
+        """`reference` is a median in seconds or a failure rate, depending on the cause.
 
-        `for_s` is how long the worker gets nothing; 0 for a return.
+        `for_s` is the time without any requests; 0 for a reinstatement.
         """
         self.incarnation = incarnation
-        self.kind = kind
+        self.cause = cause
         self.counts = counts
-        self.fellow = fellow
+        self.reference = reference
         self.for_s = for_s
 
     @property
-    def is_return(self) -> bool:
-        """Whether the worker gets requests as its fellows do again."""
+    def is_reinstatement(self) -> bool:
+        """Whether the worker gets regular requests again."""
         return self.for_s == 0.0
 
 
-class _Finding:
-    """That a worker is worse than its fellows, and by how much."""
+class _Outlier:
+    """Evidence that a worker is slow or failing."""
 
-    __slots__ = ("fellow", "kind", "severity")
+    __slots__ = ("cause", "reference", "severity")
 
-    def __init__(self, kind: EjectionCause, fellow: float, severity: float) -> None:
-        self.kind = kind
-        self.fellow = fellow
+    def __init__(self, cause: EjectionCause, reference: float, severity: float) -> None:
+        self.cause = cause
+        self.reference = reference
         self.severity = severity
 
 
-class _Standing:
-    """What is believed of a worker that was set aside once."""
+class _EjectionState:
+    """State of a worker that was ejected at least once."""
 
     __slots__ = (
         "baseline",
-        "is_aside",
-        "next_trial_s",
-        "repeats",
-        "returned_s",
-        "trials_since_s",
-        "until_s",
+        "ejected_until_s",
+        "ejections",
+        "is_ejected",
+        "next_probe_s",
+        "probing_since_s",
+        "reinstated_s",
     )
 
     def __init__(self) -> None:
-        self.is_aside = False
-        self.until_s = 0.0
-        self.repeats = 0
-        self.returned_s = 0.0
-        self.trials_since_s = 0.0
-        self.next_trial_s: float | None = None
-        """None while it gets nothing; from then on the next trial of this process."""
+        self.is_ejected = False
+        self.ejected_until_s = 0.0
+        self.ejections = 0
+        self.reinstated_s = 0.0
+        self.probing_since_s = 0.0
+        self.next_probe_s: float | None = None
+        """When this process may probe next; None until probing begins."""
         self.baseline = DecayingCounts()
-        """What was seen until its trials began; only what came after it counts."""
+        """Counts at the start of probing; only later observations are compared."""
 
 
 class OutlierDetector:
-    """Workers that are set aside, by incarnation. Not safe for threads."""
+    """Ejected workers by incarnation. Not safe for threads."""
 
     def __init__(self) -> None:
-        self._standings: dict[Incarnation, _Standing] = {}
+        self._states: dict[Incarnation, _EjectionState] = {}
 
     def is_ejected(self, incarnation: Incarnation) -> bool:
-        """Whether a worker gets no more than trials."""
-        standing = self._standings.get(incarnation)
-        return standing is not None and standing.is_aside
+        """Whether a worker gets probe requests only."""
+        state = self._states.get(incarnation)
+        return state is not None and state.is_ejected
 
     def may_probe(self, incarnation: Incarnation, now_s: float, gateways: int = 1) -> bool:
-        """Take a trial at a worker that is set aside; False when none is due.
+        """Claim a probe request to an ejected worker; False if none is due.
 
-        `gateways` share the trials; each counts its own.
+        The probe rate is divided among `gateways`, each of which counts its own probes.
         """
-        standing = self._standings.get(incarnation)
-        if standing is None or not standing.is_aside or standing.next_trial_s is None:
+        state = self._states.get(incarnation)
+        if state is None or not state.is_ejected or state.next_probe_s is None:
             return False
-        if now_s < standing.next_trial_s:
+        if now_s < state.next_probe_s:
             return False
-        standing.next_trial_s = now_s + TRIAL_PERIOD_S * max(1, gateways)
+        state.next_probe_s = now_s + PROBE_INTERVAL_S * max(1, gateways)
         return True
 
     def update(
         self,
         service: str,
-        seen: Mapping[Incarnation, DecayingCounts],
+        observed: Mapping[Incarnation, DecayingCounts],
         now_s: float,
         gateways: int = 1,
     ) -> list[EjectionChange]:
-        """Look at all workers of a service, those of which nothing was seen included.
+        """Compare all workers of a service, including those without observations.
 
-        Returns what changed. `service` is for the caller's log alone.
+        Returns the ejections and reinstatements.
         """
-        counted = {one: self._counted(one, counts, now_s) for one, counts in seen.items()}
-        verdicts = [
-            verdict
-            for one, counts in counted.items()
-            if self.is_ejected(one)
-            and (verdict := self._judge_aside(one, counts, counted, seen, now_s, gateways))
+        recent = {
+            worker: self._recent_counts(worker, counts, now_s)
+            for worker, counts in observed.items()
+        }
+        changes = [
+            change
+            for worker, counts in recent.items()
+            if self.is_ejected(worker)
+            and (change := self._check_ejected(worker, counts, recent, observed, now_s, gateways))
         ]
-        verdicts += self._return_surplus(counted)
-        return verdicts + self._set_worst_aside(counted, now_s)
+        changes += self._reinstate_excess(recent)
+        return changes + self._eject_worst(recent, now_s)
 
     def retain(self, present: Collection[Incarnation]) -> None:
-        """Drop what is believed of workers that are gone."""
-        for one in [one for one in self._standings if one not in present]:
-            del self._standings[one]
-
-    def _counted(self, one: Incarnation, counts: DecayingCounts, now_s: float) -> DecayingCounts:
-        """What counts of what was seen: nothing of before the last trials."""
+        """Drop the state of workers that are not present."""
+        for worker in [worker for worker in self._states if worker not in present]:
+            del self._states[worker]
+
+    def _recent_counts(
+        self, worker: Incarnation, counts: DecayingCounts, now_s: float
+    ) -> DecayingCounts:
+        """The observations since probing last began; all of them for a worker never ejected."""
         now = counts.as_of(now_s)
-        standing = self._standings.get(one)
-        return now if standing is None else now.since(standing.baseline)
+        state = self._states.get(worker)
+        return now if state is None else now.since(state.baseline)
 
-    def _judge_aside(
+    def _check_ejected(
         self,
-        one: Incarnation,
+        worker: Incarnation,
         counts: DecayingCounts,
-        counted: Mapping[Incarnation, DecayingCounts],
-        seen: Mapping[Incarnation, DecayingCounts],
+        recent: Mapping[Incarnation, DecayingCounts],
+        observed: Mapping[Incarnation, DecayingCounts],
         now_s: float,
         gateways: int,
     ) -> EjectionChange | None:
-        standing = self._standings[one]
-        if now_s < standing.until_s:
+        state = self._states[worker]
+        if now_s < state.ejected_until_s:
             return None
-        if standing.next_trial_s is None:
-            # Trials of all gateways are spread over the time in which each makes one.
-            spread_s = TRIAL_PERIOD_S * (gateways - 1)
-            standing.next_trial_s = now_s + random.uniform(0.0, max(0.0, spread_s))
-            standing.baseline = seen[one].as_of(now_s)
-            standing.trials_since_s = now_s
+        if state.next_probe_s is None:
+            # Spread the first probes of the gateways over one probe cycle.
+            spread_s = PROBE_INTERVAL_S * (gateways - 1)
+            state.next_probe_s = now_s + random.uniform(0.0, max(0.0, spread_s))
+            state.baseline = observed[worker].as_of(now_s)
+            state.probing_since_s = now_s
             return None
-        finding = _finding(counts, self._fellows(counted), is_one=False)
-        if finding is not None:
-            return self._set_aside(one, EjectionCause.BAD_TRIAL, counts, finding.fellow, now_s)
-        is_long_well = counts.served > 0 and now_s - standing.trials_since_s >= LONG_TRIALS_S
-        if counts.served >= GOOD_TRIALS or is_long_well:
-            return self._return(one, EjectionCause.GOOD_TRIALS, counts, now_s)
+        outlier = _find_outlier(counts, self._reference(recent), is_included=False)
+        if outlier is not None:
+            return self._eject(worker, EjectionCause.BAD_PROBE, counts, outlier.reference, now_s)
+        has_long_probing = counts.served > 0 and now_s - state.probing_since_s >= LONG_PROBING_S
+        if counts.served >= MIN_GOOD_PROBES or has_long_probing:
+            return self._reinstate(worker, EjectionCause.GOOD_PROBES, counts, now_s)
         return None
 
-    def _return_surplus(
-        self, counted: Mapping[Incarnation, DecayingCounts]
+    def _reinstate_excess(
+        self, recent: Mapping[Incarnation, DecayingCounts]
     ) -> list[EjectionChange]:
-        """Let those return that are set aside beyond the bound, as after a loss of fellows."""
-        aside = [one for one in counted if self.is_ejected(one)]
-        surplus = len(aside) - most_set_aside(len(counted))
-        soonest = sorted(aside, key=lambda one: self._standings[one].until_s)
+        """Reinstate the workers ejected beyond the bound, as when other workers are removed."""
+        ejected = [worker for worker in recent if self.is_ejected(worker)]
+        excess = len(ejected) - max_ejected(len(recent))
+        soonest = sorted(ejected, key=lambda worker: self._states[worker].ejected_until_s)
         return [
-            self._return(one, EjectionCause.TOO_MANY, counted[one], counted[one].as_of_s)
-            for one in soonest[: max(0, surplus)]
+            self._reinstate(worker, EjectionCause.TOO_MANY, recent[worker], recent[worker].as_of_s)
+            for worker in soonest[: max(0, excess)]
         ]
 
-    def _set_worst_aside(
-        self, counted: Mapping[Incarnation, DecayingCounts], now_s: float
+    def _eject_worst(
+        self, recent: Mapping[Incarnation, DecayingCounts], now_s: float
     ) -> list[EjectionChange]:
-        aside = sum(self.is_ejected(one) for one in counted)
-        places = most_set_aside(len(counted)) - aside
-        if places <= 0:
+        ejected = sum(self.is_ejected(worker) for worker in recent)
+        remaining = max_ejected(len(recent)) - ejected
+        if remaining <= 0:
             return []
-        fellows = self._fellows(counted)
-        found = {
-            one: finding
-            for one, counts in counted.items()
-            if not self.is_ejected(one) and (finding := _finding(counts, fellows, is_one=True))
+        reference = self._reference(recent)
+        outliers = {
+            worker: outlier
+            for worker, counts in recent.items()
+            if not self.is_ejected(worker)
+            and (outlier := _find_outlier(counts, reference, is_included=True))
         }
-        worst = sorted(found, key=lambda one: -found[one].severity)[:places]
+        worst = sorted(outliers, key=lambda worker: -outliers[worker].severity)[:remaining]
         return [
-            self._set_aside(one, found[one].kind, counted[one], found[one].fellow, now_s)
-            for one in worst
+            self._eject(
+                worker, outliers[worker].cause, recent[worker], outliers[worker].reference, now_s
+            )
+            for worker in worst
         ]
 
-    def _fellows(self, counted: Mapping[Incarnation, DecayingCounts]) -> "_Fellows":
-        return _Fellows([counts for one, counts in counted.items() if not self.is_ejected(one)])
+    def _reference(self, recent: Mapping[Incarnation, DecayingCounts]) -> "_ServiceReference":
+        return _ServiceReference(
+            [counts for worker, counts in recent.items() if not self.is_ejected(worker)]
+        )
 
-    def _set_aside(
+    def _eject(
         self,
-        one: Incarnation,
-        kind: EjectionCause,
+        worker: Incarnation,
+        cause: EjectionCause,
         counts: DecayingCounts,
-        fellow: float,
+        reference: float,
         now_s: float,
     ) -> EjectionChange:
-        standing = self._standings.setdefault(one, _Standing())
-        if not standing.is_aside and now_s - standing.returned_s > FORGIVEN_AFTER_S:
-            standing.repeats = 0
-        for_s = min(LONGEST_ASIDE_S, FIRST_ASIDE_S * 2**standing.repeats)
-        standing.repeats += 1
-        standing.is_aside = True
-        standing.until_s = now_s + for_s
-        standing.next_trial_s = None
-        return EjectionChange(one, kind, counts, fellow, for_s)
-
-    def _return(
-        self, one: Incarnation, kind: EjectionCause, counts: DecayingCounts, now_s: float
+        state = self._states.setdefault(worker, _EjectionState())
+        if not state.is_ejected and now_s - state.reinstated_s > BACKOFF_RESET_S:
+            state.ejections = 0
+        for_s = min(MAX_EJECTION_S, MIN_EJECTION_S * 2**state.ejections)
+        state.ejections += 1
+        state.is_ejected = True
+        state.ejected_until_s = now_s + for_s
+        state.next_probe_s = None
+        return EjectionChange(worker, cause, counts, reference, for_s)
+
+    def _reinstate(
+        self, worker: Incarnation, cause: EjectionCause, counts: DecayingCounts, now_s: float
     ) -> EjectionChange:
-        standing = self._standings[one]
-        standing.is_aside = False
-        standing.returned_s = now_s
-        return EjectionChange(one, kind, counts)
+        state = self._states[worker]
+        state.is_ejected = False
+        state.reinstated_s = now_s
+        return EjectionChange(worker, cause, counts)
 
 
-def most_set_aside(workers: int) -> int:
-    """Workers of a service that may be set aside at once.
+def max_ejected(workers: int) -> int:
+    """Maximum number of workers of a service ejected at a time.
 
-    >>> [most_set_aside(workers) for workers in (1, 2, 3, 4)]
+    >>> [max_ejected(workers) for workers in (1, 2, 3, 4)]
     [0, 1, 1, 2]
     """
-    return int(workers * MOST_SET_ASIDE)
+    return int(workers * MAX_EJECTED_SHARE)
 
 
-def surely_at_least(failed: float, judged: float, sureness: float = SURENESS) -> float:
-    """Lower end of Wilson's interval for a share of failures.
+def failure_rate_lower_bound(failed: float, completed: float, z_score: float = FAILURE_Z) -> float:
+    """Lower end of the Wilson score interval for a failure rate.
 
-    >>> round(surely_at_least(3, 3), 2), round(surely_at_least(4, 20), 2)
+    >>> round(failure_rate_lower_bound(3, 3), 2), round(failure_rate_lower_bound(4, 20), 2)
     (0.31, 0.06)
     """
-    return _wilson(failed, judged, -sureness)
+    return _wilson(failed, completed, -z_score)
 
 
-def surely_at_most(failed: float, judged: float, sureness: float = SURENESS) -> float:
-    """Upper end of the same interval.
+def failure_rate_upper_bound(failed: float, completed: float, z_score: float = FAILURE_Z) -> float:
+    """Upper end of the Wilson score interval for a failure rate.
 
-    >>> round(surely_at_most(0, 6, 1.0), 2), round(surely_at_most(5, 20, 1.0), 2)
+    >>> round(failure_rate_upper_bound(0, 6, 1.0), 2), round(failure_rate_upper_bound(5, 20, 1), 2)
     (0.14, 0.36)
     """
-    return _wilson(failed, judged, sureness)
+    return _wilson(failed, completed, z_score)
 
 
-def _wilson(failed: float, judged: float, sureness: float) -> float:
-    if judged <= 0:
-        return 0.0 if sureness < 0 else 1.0
-    square = sureness * sureness
-    share = min(1.0, failed / judged)
-    spread = sureness * math.sqrt(share * (1 - share) / judged + square / (4 * judged * judged))
-    return max(0.0, (share + square / (2 * judged) + spread) / (1 + square / judged))
+def _wilson(failed: float, completed: float, z_score: float) -> float:
+    if completed <= 0:
+        return 0.0 if z_score < 0 else 1.0
+    square = z_score * z_score
+    share = min(1.0, failed / completed)
+    spread = z_score * math.sqrt(
+        share * (1 - share) / completed + square / (4 * completed * completed)
+    )
+    return max(0.0, (share + square / (2 * completed) + spread) / (1 + square / completed))
 
 
-class _Fellows:
-    """What the workers that are compared with do: failures of all together, medians sorted."""
+class _ServiceReference:
+    """Total failures and sorted medians of the workers that others are compared with."""
 
-    __slots__ = ("failed", "judged", "medians")
+    __slots__ = ("completed", "failed", "medians")
 
-    def __init__(self, fellows: Sequence[DecayingCounts]) -> None:
-        known = [one for one in fellows if one.judged >= FEWEST_OF_FELLOW]
-        self.failed = sum(one.failed for one in known)
-        self.judged = sum(one.judged for one in known)
+    def __init__(self, reference: Sequence[DecayingCounts]) -> None:
+        known = [worker for worker in reference if worker.completed >= MIN_REFERENCE_REQUESTS]
+        self.failed = sum(worker.failed for worker in known)
+        self.completed = sum(worker.completed for worker in known)
         self.medians = sorted(
-            one.quantile_s(0.5) for one in fellows if one.served >= FEWEST_TIMES_OF_FELLOW
+            worker.quantile_s(0.5) for worker in reference if worker.served >= MIN_REFERENCE_ANSWERS
         )
-        if len(self.medians) < SHARE_KNOWN * len(fellows):
-            # The few that are known may just be the fastest kind.
+        if len(self.medians) < MIN_KNOWN_SHARE * len(reference):
+            # The few known medians may all belong to the fastest hardware.
             self.medians = []
 
     def failures_without(self, own: DecayingCounts | None) -> tuple[float, float]:
-        """Failed and judged requests of all but one; None: of all."""
-        if own is None or own.judged < FEWEST_OF_FELLOW:
-            return self.failed, self.judged
-        return max(0.0, self.failed - own.failed), self.judged - own.judged
+        """Failed and completed requests of all workers but one; of all if `own` is None."""
+        if own is None or own.completed < MIN_REFERENCE_REQUESTS:
+            return self.failed, self.completed
+        return max(0.0, self.failed - own.failed), self.completed - own.completed
 
 
-def _finding(counts: DecayingCounts, fellows: _Fellows, *, is_one: bool) -> _Finding | None:
-    """What is wrong with a worker beside its fellows; `is_one`: it is among them itself.
+def _find_outlier(
+    counts: DecayingCounts, reference: _ServiceReference, *, is_included: bool
+) -> _Outlier | None:
+    """Evidence against a worker; `is_included` if it counts in the reference itself.
 
-    One that is not is on trial, where less shows that it is bad still.
+    A worker that is not included is being probed, where fewer requests suffice as evidence.
     """
-    fewest_failures, fewest_times = (
-        (FEWEST_FAILURES, FEWEST_TIMES) if is_one else (BAD_TRIAL, BAD_TRIAL)
+    min_failures, min_answers = (
+        (MIN_FAILURES, MIN_ANSWERS) if is_included else (BAD_PROBE_WEIGHT, BAD_PROBE_WEIGHT)
     )
-    failing = _failing(counts, fellows, fewest_failures, is_one=is_one)
-    return failing or _slow(counts, fellows.medians, fewest_times, is_one=is_one)
+    failing = _failing(counts, reference, min_failures, is_included=is_included)
+    return failing or _slow(counts, reference.medians, min_answers, is_included=is_included)
 
 
 def _failing(
-    counts: DecayingCounts, fellows: _Fellows, fewest: float, *, is_one: bool
-) -> _Finding | None:
-    if counts.failed < fewest:
+    counts: DecayingCounts, reference: _ServiceReference, min_count: float, *, is_included: bool
+) -> _Outlier | None:
+    if counts.failed < min_count:
         return None
-    failed, judged = fellows.failures_without(counts if is_one else None)
-    if judged < FEWEST_OF_FELLOW:
+    failed, completed = reference.failures_without(counts if is_included else None)
+    if completed < MIN_REFERENCE_REQUESTS:
         return None
-    most = surely_at_most(failed, judged, FELLOWS_SURENESS)
-    excess = surely_at_least(counts.failed, counts.judged) - most
-    if excess <= FAILURE_MARGIN:
+    upper_bound = failure_rate_upper_bound(failed, completed, REFERENCE_Z)
+    excess = failure_rate_lower_bound(counts.failed, counts.completed) - upper_bound
+    if excess <= MIN_FAILURE_EXCESS:
         return None
-    fails_all = counts.served < FEWEST_FAILURES / 4
-    kind = EjectionCause.FAILING_ALL if fails_all else EjectionCause.FAILING
-    # A failing worker is worse than any slow one.
-    return _Finding(kind, failed / judged, 1_000.0 + excess)
+    fails_all = counts.served < MIN_FAILURES / 4
+    cause = EjectionCause.FAILING_ALL if fails_all else EjectionCause.FAILING
+    # Rank every failing worker above all slow ones.
+    return _Outlier(cause, failed / completed, 1_000.0 + excess)
 
 
 def _slow(
-    counts: DecayingCounts, medians: Sequence[float], fewest: float, *, is_one: bool
-) -> _Finding | None:
-    if counts.served < fewest:
+    counts: DecayingCounts, medians: Sequence[float], min_count: float, *, is_included: bool
+) -> _Outlier | None:
+    if counts.served < min_count:
         return None
     own = counts.quantile_s(0.5)
-    fellow = lower_quartile(medians, own if is_one else None)
-    surely = surely_at_least_s(counts)
-    if fellow is None or surely <= SLOW_FACTOR * fellow or own - fellow < SLOW_AT_LEAST_S:
+    reference = lower_quartile(medians, own if is_included else None)
+    lower_bound_s = median_lower_bound_s(counts)
+    if (
+        reference is None
+        or lower_bound_s <= SLOW_FACTOR * reference
+        or own - reference < MIN_SLOW_EXCESS_S
+    ):
         return None
-    return _Finding(EjectionCause.SLOW, fellow, own / fellow)
+    return _Outlier(EjectionCause.SLOW, reference, own / reference)
 
 
-def surely_at_least_s(counts: DecayingCounts) -> float:
-    """A time in seconds that the true median of a worker's answers surely is not below."""
+def median_lower_bound_s(counts: DecayingCounts) -> float:
+    """Lower confidence bound in seconds of a worker's median latency."""
     answers = max(1.0, sum(counts.buckets.values()))
-    return counts.quantile_s(max(0.0, 0.5 - MEDIAN_SURENESS / math.sqrt(answers)))
+    return counts.quantile_s(max(0.0, 0.5 - MEDIAN_RANK_MARGIN / math.sqrt(answers)))
 
 
-def lower_quartile(figures: Sequence[float], own: float | None) -> float | None:
-    """The figure at the lower quartile of sorted ones without `own`; None when none is left.
+def lower_quartile(values: Sequence[float], own: float | None) -> float | None:
+    """Lower quartile of sorted figures without `own`; None if none are left.
 
     >>> [lower_quartile([1.0, 2.0, 3.0, 4.0, 5.0], own) for own in (1.0, 2.0, 5.0, None)]
     [3.0, 3.0, 2.0, 2.0]
     >>> lower_quartile([1.0], 1.0) is None, lower_quartile([1.0], 7.0)
     (True, 1.0)
     """
-    place = bisect_left(figures, own) if own is not None else len(figures)
-    has_own = place < len(figures) and figures[place] == own
-    left = len(figures) - has_own
-    if left <= 0:
+    index = bisect_left(values, own) if own is not None else len(values)
+    has_own = index < len(values) and values[index] == own
+    count = len(values) - has_own
+    if count <= 0:
         return None
-    wanted = int(QUARTILE * left)
-    return figures[wanted + (has_own and place <= wanted)]
+    wanted = int(QUARTILE * count)
+    return values[wanted + (has_own and index <= wanted)]
--- a/src/bellweir/hosted/sight/service.py
+++ b/src/bellweir/hosted/sight/service.py
@@ -1,4 +1,4 @@
-"""Service `sight`: a gateway's sight of workers, shared with the others."""
+"""Service `sight`: statistics of workers, shared with the other gateways."""
 
 import time
 
@@ -8,7 +8,7 @@
 from bellweir.hosted.records import WorkerState
 from bellweir.hosted.settings import HostedSettings
 from bellweir.hosted.sight.exchange import ObservationExchange
-from bellweir.hosted.sight.monitor import Services, SharedWorkerMonitor
+from bellweir.hosted.sight.monitor import ServiceWorkers, SharedWorkerMonitor
 from bellweir.hosted.sight.table import ObservationTable
 from bellweir.hosted.views.service import ViewsService
 from bellweir.kernel import names
@@ -21,7 +21,7 @@
 
 
 class WorkerMonitorService(Service):
-    """Holds the sight, tells the others and judges the workers."""
+    """Runs the worker monitor and the gossip with other gateways."""
 
     name = names.SIGHT
     dependencies = (names.TRANSPORT, names.MEMBERSHIP, names.VIEWS, names.TELEMETRY)
@@ -36,14 +36,14 @@
             self._table,
             self._services,
             lambda: self._exchange is not None and self._exchange.is_isolated,
-            sets_aside=self._settings.set_aside,
+            ejects=self._settings.set_aside,
             uses_worker_load=self._settings.use_worker_load,
-            try_share=self._settings.try_share,
+            retry_share=self._settings.try_share,
             count_refused=lambda service: self._count_refused(service),
         )
 
     def start(self) -> None:
-        """Look at the workers from now on, and share what is seen."""
+        """Start the refreshes and, if enabled, the gossip."""
         registry = self._kernel.registry
         self._workers = registry.find(names.VIEWS, ViewsService).workers
         run_task = self._kernel.executors.run_task
@@ -53,14 +53,14 @@
                 registry.find(names.MEMBERSHIP, Membership),  # type: ignore[type-abstract]
                 self._table,
             )
-            run_task("tell-sight", self._exchange.run)
+            run_task("gossip-observations", self._exchange.run)
         self._add_gauges(registry.find(names.TELEMETRY, MetricsService))
-        run_task("look-at-workers", self.monitor.run)
+        run_task("refresh-worker-stats", self.monitor.run)
 
     def stop(self) -> None:
         """The tasks end with the executors."""
 
-    def _services(self) -> Services:
+    def _services(self) -> ServiceWorkers:
         found: dict[str, list[Incarnation]] = {}
         for worker in self._workers.all():
             if worker.entry.state is WorkerState.READY:
@@ -77,7 +77,7 @@
         add(
             "bellweir_workers_set_aside",
             "Ready workers that do worse than their fellows and get trials only.",
-            lambda: float(self.monitor.set_aside_count()),
+            lambda: float(self.monitor.ejected_count()),
         )
         add(
             "bellweir_sight_gateways",
