--- a/bench/step_replay.py
+++ b/bench/step_replay.py
@@ -23,7 +23,7 @@
     Placement,
     TextNeed,
 )
-from bellweir.hosted.batches.step_order import (
+from bellweir.hosted.batches.step_ordering import (
     EarliestDue,
     EnginesRoom,
     GroupNeed,
--- a/features/steps/hosted_batch_calls_steps.py
+++ b/features/steps/hosted_batch_calls_steps.py
@@ -19,7 +19,7 @@
     ItemResult,
     RecordResults,
 )
-from bellweir.hosted.batches.texts import pack_text, unpack_text
+from bellweir.hosted.batches.text_compression import compress_text, decompress_text
 from bellweir.hosted.records import Route, RouteKind
 from bellweir.http_server.http import Caller, Request
 from bellweir.ledger.calls import MAXIMUM_CALL_BYTES
@@ -244,7 +244,7 @@
     def packed(text, cut):
         # What a worker streams need not be text in the strict sense.
         text += cut.decode("utf-8", "surrogateescape")
-        assert unpack_text(pack_text(text)) == text
+        assert decompress_text(compress_text(text)) == text
         assert ItemResult.made("i", True, text, (1,)).whole_text == text
         assert ItemResult("i", True, text, (1,)).whole_text == text
 
--- a/features/steps/hosted_batches_steps.py
+++ b/features/steps/hosted_batches_steps.py
@@ -9,9 +9,8 @@
 from features.support.hosted_jobs import EVENTS, HOST, MODEL, make_job, make_leader
 from hypothesis import given, settings
 
-from bellweir.hosted.batches.failing import LONGEST_PAUSE_S, FailingWorkers, most_answers
 from bellweir.hosted.batches.progress import EventsMissingError, ItemProgress
-from bellweir.hosted.batches.refusals import LONGEST_LOAD_S, PAUSE_S, RefusalGuard
+from bellweir.hosted.batches.refusals import LONGEST_LOAD_S, PAUSE_S, RefusalBackoff
 from bellweir.hosted.batches.state import (
     AcceptJob,
     BatchJobs,
@@ -23,7 +22,12 @@
     RecordResults,
     TextPart,
 )
-from bellweir.hosted.batches.texts import pack_text
+from bellweir.hosted.batches.text_compression import compress_text
+from bellweir.hosted.batches.worker_quarantine import (
+    LONGEST_PAUSE_S,
+    WorkerQuarantine,
+    max_server_errors,
+)
 from bellweir.hosted.event_stream import EventSplitter, StreamEvent
 from bellweir.hosted.incarnation import Incarnation
 from bellweir.hosted.records import Route, RouteKind
@@ -225,17 +229,17 @@
 @given_step("the first item finds no worker since all of them failed it")
 def given_unplaced(context):
     choice = context.leader.coordinator._choice
-    take_worker, context.unplaced = choice.take_worker, set()
+    acquire_worker, context.unplaced = choice.acquire_worker, set()
 
     def take(progress, table):
         if not context.unplaced:
             context.unplaced.add(progress.item.id)
         if progress.item.id not in context.unplaced:
-            return take_worker(progress, table)
+            return acquire_worker(progress, table)
         progress.failed_at = [Incarnation(each.instance) for each in context.leader.models]
         return None
 
-    choice.take_worker = take
+    choice.acquire_worker = take
 
 
 @then("every other item is listed completed")
@@ -256,10 +260,10 @@
     progress.versions, progress.pieces, progress.events = [1], ["a"], 1
     choice = context.leader.coordinator._choice
     table = context.leader.coordinator._configuration.table()
-    assert choice.take_worker(progress, table) is None
-    choice.let_versions_go(progress)
+    assert choice.acquire_worker(progress, table) is None
+    choice.restart_if_version_gone(progress)
     assert (progress.versions, progress.events) == ([], 0)
-    assert choice.take_worker(progress, table) is not None
+    assert choice.acquire_worker(progress, table) is not None
 
 
 @given_step("a worker that refuses all runs for a second, which is told of")
@@ -294,7 +298,7 @@
     @given(steps=st.lists(step, max_size=30))
     def left_alone(steps):
         now_s, closed_until_s, is_open = 0.0, 0.0, True
-        guard = RefusalGuard(lambda: now_s)
+        guard = RefusalBackoff(lambda: now_s)
         worker = Incarnation("i", 7)
         for what, seconds in steps:
             if what == "pass":
@@ -309,13 +313,13 @@
             else:
                 guard.refused(worker, "m")
                 closed_until_s, is_open = max(closed_until_s, now_s + PAUSE_S), False
-            assert guard.may_begin(worker, "m") == (is_open or now_s >= closed_until_s)
-            assert guard.may_begin(Incarnation("i", 8), "m"), "a later start of it"
-        if not is_open and guard.may_begin(worker, "m"):
-            guard.begun(worker, "m")
-            assert not guard.may_begin(worker, "m")
+            assert guard.may_start(worker, "m") == (is_open or now_s >= closed_until_s)
+            assert guard.may_start(Incarnation("i", 8), "m"), "a later start of it"
+        if not is_open and guard.may_start(worker, "m"):
+            guard.started(worker, "m")
+            assert not guard.may_start(worker, "m")
             guard.accepted(worker, "m")
-            assert guard.may_begin(worker, "m")
+            assert guard.may_start(worker, "m")
 
     left_alone()
 
@@ -336,13 +340,13 @@
     @given(steps=st.lists(st.tuples(st.booleans(), ending, st.floats(0, 0.2)), max_size=40))
     def one_at_a_time(steps):
         now_s = [0.0]
-        guard = RefusalGuard(lambda: now_s[0])
+        guard = RefusalBackoff(lambda: now_s[0])
         worker = Incarnation("i")
         refused_s, begun, ended, in_hand = None, 0, 0, 0
         for begins, how, passed_s in steps:
             now_s[0] += passed_s
-            if begins and guard.may_begin(worker, "m"):
-                guard.begun(worker, "m")
+            if begins and guard.may_start(worker, "m"):
+                guard.started(worker, "m")
                 in_hand += 1
                 if refused_s is not None:
                     assert now_s[0] >= refused_s + PAUSE_S
@@ -355,7 +359,7 @@
                 if how != "ended":
                     refused_s = now_s[0] if how == "refused" else None
                     begun = ended = 0
-        assert guard.may_begin(worker, "other")
+        assert guard.may_start(worker, "other")
 
     one_at_a_time()
 
@@ -373,31 +377,31 @@
     @given(answers=st.lists(answer, max_size=40))
     def set_aside(answers):
         now_s = 0.0
-        failing = FailingWorkers(lambda: now_s)
+        failing = WorkerQuarantine(lambda: now_s)
         failed = {worker: [] for worker in FELLOWS}
         for worker, serves, number, passed_s in answers:
             now_s += passed_s + 0.001
             if serves:
-                failing.served(worker, now_s)
+                failing.succeeded(worker, now_s)
                 failed[worker] = []
             else:
-                failing.begun(worker, f"item-{number}")
+                failing.started(worker, f"item-{number}")
                 failing.failed(worker, f"item-{number}")
                 failing.ended(worker, f"item-{number}")
                 failed[worker].append(number)
-            closed = [one for one in FELLOWS if not failing.may_begin(one, FELLOWS)]
+            closed = [one for one in FELLOWS if not failing.may_start(one, FELLOWS)]
             assert len(closed) <= len(FELLOWS) / 2
             for one in closed:
                 assert len(set(failed[one])) >= 2, "closed for one item or none"
         now_s += LONGEST_PAUSE_S
         for one in FELLOWS:
-            assert failing.may_begin(one, FELLOWS), "not tried again"
-            failing.begun(one, "trial")
-            if one in failing.failing_all(FELLOWS) and not failing.may_begin(one, FELLOWS):
+            assert failing.may_start(one, FELLOWS), "not tried again"
+            failing.started(one, "trial")
+            if one in failing.failing_workers(FELLOWS) and not failing.may_start(one, FELLOWS):
                 failing.ended(one, "trial")
-                assert failing.may_begin(one, FELLOWS)
-            failing.served(one, now_s)
-            assert failing.may_begin(one, FELLOWS)
+                assert failing.may_start(one, FELLOWS)
+            failing.succeeded(one, now_s)
+            assert failing.may_start(one, FELLOWS)
 
     set_aside()
 
@@ -412,20 +416,22 @@
     )
     def given_up(allowed, broken, workers):
         now_s = 0.0
-        failing = FailingWorkers(lambda: now_s)
+        failing = WorkerQuarantine(lambda: now_s)
         fellows = [Incarnation(f"i-{number}") for number in range(6)]
         for worker in fellows[:broken]:
             failing.failed(worker, "another")
             failing.failed(worker, "a third")
         failed_at = []
         for number in workers:
-            is_given_up = failing.is_given_up(failed_at, allowed, fellows)
+            is_exhausted = failing.has_exhausted_retries(failed_at, allowed, fellows)
             sound = sum(worker in fellows[broken:] for worker in failed_at)
-            assert is_given_up == (sound >= allowed or len(failed_at) >= most_answers(allowed))
+            assert is_exhausted == (
+                sound >= allowed or len(failed_at) >= max_server_errors(allowed)
+            )
             now_s += 0.1
             failed_at.append(fellows[number])
         # The first leader may end just before it gives the item up.
-        assert most_answers(allowed) - 1 + most_answers(allowed) <= 3 * allowed
+        assert max_server_errors(allowed) - 1 + max_server_errors(allowed) <= 3 * allowed
 
     given_up()
 
@@ -630,7 +636,9 @@
             if what == "keep":
                 item, after, events = value
                 text = "\n".join(str(number) for number in range(after, after + events))
-                made = TextPart(f"job-{item}", after, events, after + events, pack_text(text), (1,))
+                made = TextPart(
+                    f"job-{item}", after, events, after + events, compress_text(text), (1,)
+                )
                 machine.apply(KeepParts("job", (made,)))
                 chain = chains[item]
                 if chain is not None and is_open:
--- a/features/steps/hosted_moves_steps.py
+++ b/features/steps/hosted_moves_steps.py
@@ -11,16 +11,16 @@
 from hypothesis import given, settings
 
 from bellweir.hosted.batches.attempts import ItemAttempts
-from bellweir.hosted.batches.mover import Run, RunMover
-from bellweir.hosted.batches.moves import (
+from bellweir.hosted.batches.event_times import WorkerEventTimes
+from bellweir.hosted.batches.move_planning import (
     LEAST_GAIN_S,
     MOVE_COST_S,
     MoveTarget,
     RunOutlook,
     plan_moves,
 )
-from bellweir.hosted.batches.pace import WorkerPaces
 from bellweir.hosted.batches.progress import ItemProgress
+from bellweir.hosted.batches.run_mover import Run, RunMover
 from bellweir.hosted.batches.state import AcceptJob
 from bellweir.hosted.incarnation import Incarnation
 from bellweir.hosted.records import WorkerEntry
@@ -78,12 +78,12 @@
         pauses=st.sets(st.integers(0, 59), max_size=2),
     )
     def paces(fast_s, factor, pauses):
-        known = WorkerPaces()
+        known = WorkerEventTimes()
         fast, slow, new = Incarnation("fast"), Incarnation("slow"), Incarnation("new")
         for number in range(60):
             pause_s = 1.0 if number in pauses and number < 40 else 0.0
-            known.note_gap(fast, fast_s + pause_s)
-            known.note_gap(slow, fast_s * factor + pause_s)
+            known.record_interval(fast, fast_s + pause_s)
+            known.record_interval(slow, fast_s * factor + pause_s)
         if not pauses:
             assert abs(known.of(fast) - fast_s) < 0.001
         assert known.of(fast) < known.of(slow)
@@ -173,8 +173,8 @@
         self.now_s = 100.0
         attempts = ItemAttempts(WorkerConnections(HEADERS), WorkerLoads("a"))
         for _ in range(40):
-            attempts.paces.note_gap(Incarnation("fast"), FAST_S)
-            attempts.paces.note_gap(Incarnation("slow"), SLOW_S)
+            attempts.paces.record_interval(Incarnation("fast"), FAST_S)
+            attempts.paces.record_interval(Incarnation("slow"), SLOW_S)
         self.mover = RunMover(attempts, lambda: self.now_s)
         job = make_job("job", count, 1)
         fast, self.slow = (Worker(name, WorkerEntry("llm", "h:1")) for name in ("fast", "slow"))
@@ -199,7 +199,7 @@
         self.now_s += after_s
         room = ROOM - len(self.moved())
         targets = [(self.slow, room)] if room > 0 else []
-        self.mover.look(self.runs, lambda _progress, _service: targets)
+        self.mover.move_runs(self.runs, lambda _progress, _service: targets)
 
     def moved(self):
         """Runs that were told to go on elsewhere."""
--- a/features/steps/hosted_reading_steps.py
+++ b/features/steps/hosted_reading_steps.py
@@ -42,7 +42,7 @@
     StageItems,
     TextPart,
 )
-from bellweir.hosted.batches.texts import pack_text
+from bellweir.hosted.batches.text_compression import compress_text
 from bellweir.ledger.machines import Codec
 from bellweir.ledger.messages import PeekAnswer
 from bellweir.ledger.nearby import NearbyReads
@@ -440,7 +440,7 @@
         if what in ("keep", "again"):
             # A new leader may keep the newest part once more.
             after = kept[item] if what == "keep" else max(0, kept[item] - 1)
-            packed = pack_text(f"kept {item} {after}")
+            packed = compress_text(f"kept {item} {after}")
             commands.append(KeepParts("job", (TextPart(item_id, after, 1, after, packed, (1,)),)))
             kept[item] = after + 1
         elif what == "end":
@@ -449,7 +449,7 @@
             behind = kept[item] if what == "record" else 0
             text = "tail" if behind else "whole"
             result = ItemResult(
-                item_id, True, versions=(1,), packed=pack_text(text), length=9, behind=behind
+                item_id, True, versions=(1,), packed=compress_text(text), length=9, behind=behind
             )
             commands.append(RecordResults("job", (result,)))
     return commands
--- a/features/steps/hosted_steps_steps.py
+++ b/features/steps/hosted_steps_steps.py
@@ -21,7 +21,7 @@
 )
 from bellweir.hosted.batches.progress import ItemProgress
 from bellweir.hosted.batches.state import AcceptJob, JobState
-from bellweir.hosted.batches.step_order import (
+from bellweir.hosted.batches.step_ordering import (
     LATE_SHARE,
     EnginesRoom,
     GroupNeed,
@@ -29,7 +29,7 @@
     Standing,
     StepNeed,
 )
-from bellweir.hosted.batches.step_queue import OpenStep, StepQueue
+from bellweir.hosted.batches.step_scheduler import OpenStep, StepScheduler
 from bellweir.hosted.records import Configuration
 from bellweir.hosted.serving.attempt import WorkerConnections
 from bellweir.hosted.serving.selection import WorkerLoads
@@ -139,7 +139,7 @@
 @then("two trainers' steps of texts whose lengths nobody knows go by their due times, none late")
 def then_unknown(context):
     attempts = ItemAttempts(WorkerConnections(HEADERS), WorkerLoads("a"))
-    queue = StepQueue(attempts.known_events, lambda _service: [(PACE_S, 8)], lambda: 5.0)
+    queue = StepScheduler(attempts.known_events, lambda _service: [(PACE_S, 8)], lambda: 5.0)
     table = RouteTable(msgspec.convert(configuration(), Configuration))
     steps, known = [], {}
     for prefix, due_ms in (("/draft/", 9_000.0), ("/rewrite/", 7_000.0)):
@@ -151,7 +151,7 @@
         for item in job.items:
             progress = known[job.id, item.id] = ItemProgress(job, route, item)
             progress.guessed_tokens = 50_000.0
-    queue.look(steps, known, (), table)
+    queue.update(steps, known, (), table)
     ranks = {key: queue.rank(progress) for key, progress in known.items()}
     assert all(queue.urgency(progress) is None for progress in known.values())
     assert {rank for (job, _), rank in ranks.items() if job == "/rewrite/"} == {0}
@@ -302,7 +302,7 @@
 
     context.leader.ledger.submit = with_tokens
     context.counts = []
-    look = coordinator._choice.begin_look
+    look = coordinator._choice.begin_round
 
     def noted(running, table):
         texts = [run for run in running if run.progress.item.tokens]
@@ -310,7 +310,7 @@
         context.counts += [at.count(worker) for worker in set(at)]
         look(running, table)
 
-    coordinator._choice.begin_look = noted
+    coordinator._choice.begin_round = noted
 
 
 @then("no engine ever had more than {most:d} items")
--- a/src/bellweir/hosted/batches/api.py
+++ b/src/bellweir/hosted/batches/api.py
@@ -8,9 +8,9 @@
 from returns.result import Failure, Result, Success
 
 from bellweir.events.log import emit
+from bellweir.hosted.batches.deferred_reads import DeferredReads
 from bellweir.hosted.batches.formats import decode_job
 from bellweir.hosted.batches.pages import encode_bounded_page
-from bellweir.hosted.batches.put_off import PutOffReadings
 from bellweir.hosted.batches.result_cache import ResultCache
 from bellweir.hosted.batches.state import (
     JOBS_KEY,
@@ -71,7 +71,7 @@
     ) -> None:
         """With `nearby_reads` results come from the replica of this zone as far as it has them.
 
-        `count_put_off` is called for each reading that is put off; see `PutOffReadings`.
+        `count_put_off` is called for each reading that is put off; see `DeferredReads`.
         """
         self._ledger = ledger
         self._paths = paths
@@ -79,7 +79,7 @@
         self._nearby_reads = nearby_reads
         self._pause = threading.Event()
         self._cache = ResultCache()
-        self._put_off = PutOffReadings(count_put_off)
+        self._put_off = DeferredReads(count_put_off)
         self.accept_timeout_s = ACCEPT_TIMEOUT_S
 
     def is_call(self, request: Request) -> bool:
@@ -214,7 +214,7 @@
         if anywhere is None:
             leader = outcome.failure().detail if isinstance(outcome, Failure) else "wrong reply"
             nearby = "no_job" if near.total is None else "behind"
-            self._put_off.tell(job_id, after, leader, nearby)
+            self._put_off.record(job_id, after, leader, nearby)
         return anywhere
 
     def _read_replicas(self, query: ReadResults) -> ResultsPage | None:
--- a/src/bellweir/hosted/batches/attempts.py
+++ b/src/bellweir/hosted/batches/attempts.py
@@ -6,17 +6,17 @@
 
 from bellweir.clients.open_answer import OpenAnswer
 from bellweir.events.log import emit
-from bellweir.hosted.batches.failing import FailingWorkers
-from bellweir.hosted.batches.lengths import TextLengths
-from bellweir.hosted.batches.pace import WorkerPaces
+from bellweir.hosted.batches.event_times import WorkerEventTimes
+from bellweir.hosted.batches.length_prediction import LengthPredictor
 from bellweir.hosted.batches.progress import (
     EventsMissingError,
     ItemProgress,
     VersionMixedError,
     VersionTooOldError,
 )
-from bellweir.hosted.batches.refusals import RefusalGuard
+from bellweir.hosted.batches.refusals import RefusalBackoff
 from bellweir.hosted.batches.state import JobItem, TextPart
+from bellweir.hosted.batches.worker_quarantine import WorkerQuarantine
 from bellweir.hosted.event_stream import EventSplitter, EventTooLongError
 from bellweir.hosted.incarnation import Incarnation
 from bellweir.hosted.interface import HeaderNames
@@ -67,12 +67,12 @@
     def __init__(self, connections: WorkerConnections, loads: WorkerLoads) -> None:
         self._connections = connections
         self._loads = loads
-        self.refusals = RefusalGuard()
-        self.failing = FailingWorkers()
+        self.refusals = RefusalBackoff()
+        self.failing = WorkerQuarantine()
         self.fellows_of: Callable[[Worker], Collection[Incarnation]] = _no_fellows
         """Returns the workers of a worker's service, itself among them; none: all count."""
-        self.paces = WorkerPaces()
-        self.lengths = TextLengths()
+        self.paces = WorkerEventTimes()
+        self.lengths = LengthPredictor()
         self.keep_part: Callable[[ItemProgress, TextPart], None] = lambda _progress, _part: None
         """Called with parts of long texts in the making."""
         self.keep_period_s = 0.0
@@ -80,11 +80,11 @@
 
     def expected_events(self, progress: ItemProgress) -> float:
         """Events that an item's text is expected to have."""
-        return self.lengths.expected(progress.item.id, progress.guessed_tokens)
+        return self.lengths.predict_events(progress.item.id, progress.guessed_tokens)
 
     def known_events(self, progress: ItemProgress) -> float | None:
         """The same, as far as it is more than a rank among texts; None before any has ended."""
-        return self.expected_events(progress) if self.lengths.is_known else None
+        return self.expected_events(progress) if self.lengths.is_calibrated else None
 
     def guessed_tokens(self, item: JobItem) -> float | None:
         """Tokens that an item's caller guesses its text to have; None without a guess."""
@@ -186,7 +186,7 @@
             return
         opened.finish()
         self._loads.answered(worker.incarnation, time.monotonic() - began_s)
-        self.lengths.finished(progress.item.id, progress.guessed_tokens, progress.events)
+        self.lengths.record_completed(progress.item.id, progress.guessed_tokens, progress.events)
         progress.text_is_whole()
 
     def _note_events(
@@ -195,7 +195,7 @@
         """Note that events came; the first ones of a run tell nothing of its worker's pace."""
         now_s = time.monotonic()
         if not is_first:
-            self.paces.note_gap(worker.incarnation, (now_s - progress.heard_s) / count)
+            self.paces.record_interval(worker.incarnation, (now_s - progress.heard_s) / count)
         progress.heard_s = now_s
         if self.keep_period_s > 0 and now_s - progress.kept_s >= self.keep_period_s:
             progress.kept_s = now_s
@@ -284,7 +284,7 @@
             self._give_up_if_due(progress, maximum_failures, worker)
 
     def _note_served(self, worker: Worker, began_s: float) -> None:
-        if self.failing.served(worker.incarnation, began_s):
+        if self.failing.succeeded(worker.incarnation, began_s):
             emit(WORKER_SERVES_AGAIN, instance=worker.instance)
 
     def _note_failure(self, progress: ItemProgress, worker: Worker, status: int) -> None:
@@ -293,7 +293,7 @@
             return
         failures = self.failing.failed(worker.incarnation, progress.item.id)
         fellows = self.fellows_of(worker)
-        failing = self.failing.failing_all(fellows)
+        failing = self.failing.failing_workers(fellows)
         if worker.incarnation in failing:
             emit(
                 WORKER_FAILS_ALL,
@@ -306,11 +306,11 @@
 
     def _give_up_if_due(self, progress: ItemProgress, allowed: int, worker: Worker) -> None:
         fellows = self.fellows_of(worker)
-        if self.failing.is_given_up(progress.failed_at_now, allowed, fellows):
+        if self.failing.has_exhausted_retries(progress.failed_at_now, allowed, fellows):
             progress.give_up()
 
     def _log_broken(self, progress: ItemProgress, worker: Worker, cause: str) -> None:
-        self.lengths.note_events(progress.item.id, progress.events)
+        self.lengths.record_events(progress.item.id, progress.events)
         emit(
             ITEM_BROKEN,
             request_id=progress.item.id,
--- a/src/bellweir/hosted/batches/coordinator.py
+++ b/src/bellweir/hosted/batches/coordinator.py
@@ -13,11 +13,11 @@
 from bellweir.hosted.batches.attempts import ItemAttempts
 from bellweir.hosted.batches.carried import CarriedTexts
 from bellweir.hosted.batches.committer import Committer
-from bellweir.hosted.batches.mover import Run, RunMover
 from bellweir.hosted.batches.progress import ItemProgress, Stage
+from bellweir.hosted.batches.run_mover import Run, RunMover
 from bellweir.hosted.batches.state import JOBS_KEY, BatchJobs, JobItem, JobState
-from bellweir.hosted.batches.step_queue import OpenStep, StepQueue
-from bellweir.hosted.batches.worker_choice import WorkerChoice, score_route
+from bellweir.hosted.batches.step_scheduler import OpenStep, StepScheduler
+from bellweir.hosted.batches.worker_selection import WorkerSelector, score_route
 from bellweir.hosted.log_events import COORDINATION_LEFT, COORDINATION_TAKEN, ITEM_TAKEN_OVER
 from bellweir.hosted.records import Route
 from bellweir.hosted.serving.attempt import Cancellation
@@ -62,9 +62,9 @@
         self._progress: dict[ItemKey, ItemProgress] = {}
         self._running: dict[ItemKey, Run] = {}
         self._carried = CarriedTexts()
-        self._choice = WorkerChoice(workers, loads, attempts, policy)
+        self._choice = WorkerSelector(workers, loads, attempts, policy)
         self._mover = RunMover(attempts)
-        self._queue = StepQueue(attempts.known_events, self._choice.paces_of)
+        self._queue = StepScheduler(attempts.known_events, self._choice.event_times_of)
         self._leading = False
         self._wake = threading.Event()
 
@@ -97,9 +97,9 @@
         if table is not None:
             with self._lock:
                 running = list(self._running.values())
-            self._choice.begin_look(running, table)
+            self._choice.begin_round(running, table)
             if self._policy.move_runs:
-                self._mover.look(running, self._choice.targets)
+                self._mover.move_runs(running, self._choice.move_targets)
             self._start_waiting(jobs, table)
 
     def _start_waiting(self, jobs: list[JobState], table: RouteTable) -> None:
@@ -111,9 +111,9 @@
         for progress in self._waiting(jobs, table):
             kind = (progress.job.id, progress.stage)
             if kind not in full and not self._start(progress, table):
-                if not self._choice.is_particular(progress):
+                if not self._choice.has_own_constraints(progress):
                     full.add(kind)
-                self._choice.let_versions_go(progress)
+                self._choice.restart_if_version_gone(progress)
 
     def _leave(self) -> None:
         with self._lock:
@@ -163,7 +163,7 @@
         if self._policy.order_by_need:
             with self._lock:
                 known, running = dict(self._progress), list(self._running)
-            self._queue.look(steps, known, running, table)
+            self._queue.update(steps, known, running, table)
             waiting.sort(key=self._rank)
         return waiting
 
@@ -215,7 +215,7 @@
 
     def _start(self, progress: ItemProgress, table: RouteTable) -> bool:
         """Start an item's next attempt, if it need not wait; False when no worker has room."""
-        worker = self._choice.take_worker(progress, table)
+        worker = self._choice.acquire_worker(progress, table)
         progress.moved_to = None
         if worker is None:
             return self._choice.is_held
--- a/src/bellweir/hosted/batches/put_off.py
+++ b/src/bellweir/hosted/batches/deferred_reads.py
@@ -11,7 +11,7 @@
 """Time between two lines: without a leader each client asks twice a second."""
 
 
-class PutOffReadings:
+class DeferredReads:
     """Counts all of them, and logs one a second at most. Safe for threads."""
 
     __slots__ = ("_count", "_due_s", "_left_out", "_lock")
@@ -23,7 +23,7 @@
         self._due_s = float("-inf")
         self._left_out = 0
 
-    def tell(self, job_id: str, after: int, leader: str, nearby: str) -> None:
+    def record(self, job_id: str, after: int, leader: str, nearby: str) -> None:
         """Note a reading of a job from a position on.
 
         `leader` says why the leader did not answer; `nearby` is `behind` where the zone's replica
--- a/src/bellweir/hosted/batches/engine_outlook.py
+++ b/src/bellweir/hosted/batches/engine_forecast.py
@@ -5,7 +5,6 @@
 from collections.abc import Callable, Sequence
 
 from bellweir.hosted.batches.attempts import ItemAttempts
-from bellweir.hosted.batches.mover import Run
 from bellweir.hosted.batches.placement import (
     CROWDING,
     MOST_HELD,
@@ -14,6 +13,7 @@
     TextNeed,
 )
 from bellweir.hosted.batches.progress import ItemProgress, Stage
+from bellweir.hosted.batches.run_mover import Run
 from bellweir.hosted.incarnation import Incarnation
 from bellweir.hosted.settings import BatchSettings
 from bellweir.hosted.views.configuration import RouteTable
@@ -58,7 +58,7 @@
 
     def is_uneven(self, workers: Sequence[Worker]) -> bool:
         """Whether workers differ so much that texts are placed by their ends."""
-        if not self._policy.place_by_end or not self._attempts.lengths.is_known:
+        if not self._policy.place_by_end or not self._attempts.lengths.is_calibrated:
             return False
         paces_s = [self._attempts.paces.of(worker.incarnation) for worker in workers]
         return max(paces_s) >= UNEVEN * min(paces_s)
--- a/src/bellweir/hosted/batches/pace.py
+++ b/src/bellweir/hosted/batches/event_times.py
@@ -4,10 +4,10 @@
 Gaps are smoothed for each worker. A gap many times the usual one is a pause (weights that load, a
 connection that stalls) and says little of the pace, so that it counts as a few usual ones.
 
->>> paces = WorkerPaces()
+>>> paces = WorkerEventTimes()
 >>> for _ in range(200):
-...     paces.note_gap(Incarnation("i-1"), 0.04)
-...     paces.note_gap(Incarnation("i-2"), 0.12)
+...     paces.record_interval(Incarnation("i-1"), 0.04)
+...     paces.record_interval(Incarnation("i-2"), 0.12)
 >>> [round(paces.of(Incarnation(name)), 2) for name in ("i-1", "i-2", "new")]
 [0.04, 0.12, 0.04]
 """
@@ -35,14 +35,14 @@
         self.seen = 0
 
 
-class WorkerPaces:
+class WorkerEventTimes:
     """Seconds from one event to the next, by worker. Safe for threads."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._paces: dict[Incarnation, _Pace] = {}
 
-    def note_gap(self, worker: Incarnation, gap_s: float) -> None:
+    def record_interval(self, worker: Incarnation, gap_s: float) -> None:
         """Note the time between two events of one stream."""
         with self._lock:
             pace = self._paces.setdefault(worker, _Pace())
@@ -62,7 +62,7 @@
             known = [one.gap_s for one in self._paces.values() if one.seen >= FEWEST_GAPS]
             return min(known, default=USUAL_GAP_S)
 
-    def forget_others(self, incarnations: Collection[Incarnation]) -> None:
+    def retain(self, incarnations: Collection[Incarnation]) -> None:
         """Drop what is known of workers that are gone."""
         with self._lock:
             self._paces = {key: one for key, one in self._paces.items() if key in incarnations}
--- a/src/bellweir/hosted/batches/lengths.py
+++ b/src/bellweir/hosted/batches/length_prediction.py
@@ -4,12 +4,12 @@
 makes as much again), what the caller guesses, and the mean of the texts that ended. Callers guess
 in tokens; how many tokens make an event is learnt from the texts that ended.
 
->>> lengths = TextLengths()
->>> lengths.finished("a", 100, 20)
->>> round(lengths.expected("b", 50)), round(lengths.expected("c", None))
+>>> lengths = LengthPredictor()
+>>> lengths.record_completed("a", 100, 20)
+>>> round(lengths.predict_events("b", 50)), round(lengths.predict_events("c", None))
 (10, 20)
->>> lengths.note_events("d", 160)
->>> lengths.expected("d", 50)
+>>> lengths.record_events("d", 160)
+>>> lengths.predict_events("d", 50)
 160.0
 """
 
@@ -23,7 +23,7 @@
 """Items whose events are remembered; the oldest goes first."""
 
 
-class TextLengths:
+class LengthPredictor:
     """Expected lengths of texts. Safe for threads."""
 
     def __init__(self) -> None:
@@ -34,16 +34,16 @@
         self._mean_events = 1.0
         self._texts = 0
 
-    def note_events(self, item_id: str, events: int) -> None:
+    def record_events(self, item_id: str, events: int) -> None:
         """Note the events that a run of an item has made."""
         with self._lock:
             self._seen[item_id] = max(events, self._seen.pop(item_id, 0))
             while len(self._seen) > MAXIMUM_ITEMS:
                 self._seen.popitem(last=False)
 
-    def finished(self, item_id: str, guessed_tokens: float | None, events: int) -> None:
+    def record_completed(self, item_id: str, guessed_tokens: float | None, events: int) -> None:
         """Note a whole text and what its caller had guessed."""
-        self.note_events(item_id, events)
+        self.record_events(item_id, events)
         if events <= 0:
             return
         with self._lock:
@@ -56,12 +56,12 @@
                 self._log_tokens = known + weight * (found - known)
 
     @property
-    def is_known(self) -> bool:
+    def is_calibrated(self) -> bool:
         """Whether a text has ended, so that expectations are in events; before, they only rank."""
         with self._lock:
             return self._texts > 0
 
-    def expected(self, item_id: str, guessed_tokens: float | None) -> float:
+    def predict_events(self, item_id: str, guessed_tokens: float | None) -> float:
         """Return the events that an item's text is expected to have."""
         with self._lock:
             seen = float(self._seen.get(item_id, 0))
--- a/src/bellweir/hosted/batches/progress.py
+++ b/src/bellweir/hosted/batches/progress.py
@@ -5,7 +5,7 @@
 from enum import Enum
 
 from bellweir.hosted.batches.state import ItemResult, Job, JobItem, TextPart
-from bellweir.hosted.batches.texts import pack_text, unpack_text
+from bellweir.hosted.batches.text_compression import compress_text, decompress_text
 from bellweir.hosted.event_stream import StreamEvent
 from bellweir.hosted.incarnation import Incarnation
 from bellweir.hosted.records import Route
@@ -127,7 +127,7 @@
             self.kept_events,
             count,
             self.last_event_id,
-            pack_text(text),
+            compress_text(text),
             tuple(self.versions),
         )
         self.kept_events = self.events
@@ -140,7 +140,7 @@
         is_fresh = bool(versions) and min(versions) >= self.job.minimum_version
         if not is_fresh or (self.route.single_version and len(versions) > 1):
             return False
-        self.pieces = [unpack_text(part.packed) for part in parts]
+        self.pieces = [decompress_text(part.packed) for part in parts]
         self.versions = list(versions)
         self.last_event_id = parts[-1].last_event_id
         self.events = self.kept_events = sum(part.events for part in parts)
@@ -166,7 +166,7 @@
             True,
             versions=tuple(sorted(self.versions)),
             score=score,
-            packed=pack_text("\n".join(tail)) if tail else b"",
+            packed=compress_text("\n".join(tail)) if tail else b"",
             length=len("\n".join(self.pieces)),
             behind=self.kept_events,
         )
--- a/src/bellweir/hosted/batches/refusals.py
+++ b/src/bellweir/hosted/batches/refusals.py
@@ -8,13 +8,13 @@
 Where the node that orders loads tells of them, the worker is left alone before it has refused
 anything, for as long as the load is expected to take.
 
->>> refusals = RefusalGuard(now_s=lambda: 1.0)
+>>> refusals = RefusalBackoff(now_s=lambda: 1.0)
 >>> worker = Incarnation("i-1")
 >>> refusals.refused(worker, "m")
->>> refusals.may_begin(worker, "m"), refusals.may_begin(worker, "other")
+>>> refusals.may_start(worker, "m"), refusals.may_start(worker, "other")
 (False, True)
 >>> refusals.accepted(worker, "m")
->>> refusals.may_begin(worker, "m")
+>>> refusals.may_start(worker, "m")
 True
 """
 
@@ -40,10 +40,10 @@
         self.is_tried = False
 
 
-class RefusalGuard(LoadListener):
+class RefusalBackoff(LoadListener):
     """What refused lately, by worker and model. Safe for threads.
 
-    Every run that `begun` was called for ends with one of `accepted`, `refused` and `ended`.
+    Every run that `started` was called for ends with one of `accepted`, `refused` and `ended`.
     """
 
     def __init__(self, now_s: Callable[[], float] = time.monotonic) -> None:
@@ -51,19 +51,19 @@
         self._lock = threading.Lock()
         self._refusals: dict[tuple[Incarnation, str], _Refusal] = {}
 
-    def may_begin(self, worker: Incarnation, model: str) -> bool:
+    def may_start(self, worker: Incarnation, model: str) -> bool:
         """Tell whether a run of a model may be sent to a worker now."""
         with self._lock:
             found = self._refusals.get((worker, model))
             return found is None or (not found.is_tried and self._now_s() >= found.until_s)
 
-    def left_alone_count(self) -> int:
+    def paused_worker_count(self) -> int:
         """Workers that get no run of some model now."""
         with self._lock:
             now_s = self._now_s()
             return len({key[0] for key, one in self._refusals.items() if now_s < one.until_s})
 
-    def begun(self, worker: Incarnation, model: str) -> None:
+    def started(self, worker: Incarnation, model: str) -> None:
         """Note that a run is sent; after a refusal no other one is until it is answered."""
         with self._lock:
             found = self._refusals.get((worker, model))
@@ -103,7 +103,7 @@
             if found is not None:
                 found.is_tried = False
 
-    def forget_others(self, incarnations: set[Incarnation]) -> None:
+    def retain(self, incarnations: set[Incarnation]) -> None:
         """Drop what is known of workers that are gone."""
         with self._lock:
             kept = {key: one for key, one in self._refusals.items() if key[0] in incarnations}
--- a/src/bellweir/hosted/batches/mover.py
+++ b/src/bellweir/hosted/batches/run_mover.py
@@ -5,8 +5,8 @@
 
 from bellweir.events.log import emit
 from bellweir.hosted.batches.attempts import ItemAttempts
-from bellweir.hosted.batches.moves import MoveTarget, PlannedMove, RunOutlook, plan_moves
-from bellweir.hosted.batches.own_pauses import OwnPauses
+from bellweir.hosted.batches.move_planning import MoveTarget, PlannedMove, RunOutlook, plan_moves
+from bellweir.hosted.batches.process_stalls import OwnPauses
 from bellweir.hosted.batches.progress import ItemProgress, Stage
 from bellweir.hosted.incarnation import Incarnation
 from bellweir.hosted.log_events import ITEM_MOVED
@@ -54,7 +54,7 @@
         self._due_s = 0.0
         self._pauses = OwnPauses(LOOK_PERIOD_S)
 
-    def look(self, runs: Iterable[Run], targets_of: TargetsOf) -> None:
+    def move_runs(self, runs: Iterable[Run], targets_of: TargetsOf) -> None:
         """Move runs, if a look is due."""
         now_s = self._now_s()
         self._pauses.note_look(now_s)
--- a/src/bellweir/hosted/batches/service.py
+++ b/src/bellweir/hosted/batches/service.py
@@ -89,7 +89,7 @@
         metrics.add_gauge(
             "bellweir_workers_left_alone",
             "On the jobs' leader: workers that load weights or refused a model's runs just now.",
-            lambda: float(self._attempts.refusals.left_alone_count()),
+            lambda: float(self._attempts.refusals.paused_worker_count()),
         )
         metrics.add_gauge(
             "bellweir_ledger_leads",
@@ -114,7 +114,7 @@
             workers = self._views.workers.all()
             incarnations = {worker.incarnation for worker in workers}
             self._loads.forget_others(incarnations)
-            self._attempts.refusals.forget_others(incarnations)
-            self._attempts.failing.forget_others(incarnations)
-            self._attempts.paces.forget_others(incarnations)
+            self._attempts.refusals.retain(incarnations)
+            self._attempts.failing.retain(incarnations)
+            self._attempts.paces.retain(incarnations)
             self._connections.forget_others({worker.address for worker in workers})
--- a/src/bellweir/hosted/batches/state.py
+++ b/src/bellweir/hosted/batches/state.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from bellweir.hosted.batches.kept_time import KeptTime
-from bellweir.hosted.batches.texts import pack_text, unpack_text
+from bellweir.hosted.batches.text_compression import compress_text, decompress_text
 from bellweir.ledger.interface import Command, Query, Reply, StateMachine
 
 JOBS_KEY = "batch-jobs"
@@ -99,7 +99,7 @@
     versions: tuple[int, ...] = ()
     score: str = ""
     packed: bytes = b""
-    """The text packed by `pack_text`."""
+    """The text packed by `compress_text`."""
     length: int = 0
     """Characters of the whole text."""
     earlier: tuple[bytes, ...] = ()
@@ -112,7 +112,7 @@
         cls, item_id: str, is_complete: bool, text: str, versions: tuple[int, ...], score: str = ""
     ) -> "ItemResult":
         """Return a result with its text packed."""
-        return cls(item_id, is_complete, "", versions, score, pack_text(text), len(text))
+        return cls(item_id, is_complete, "", versions, score, compress_text(text), len(text))
 
     @property
     def whole_text(self) -> str:
@@ -120,7 +120,7 @@
         if not self.packed and not self.earlier:
             return self.text
         packed = (*self.earlier, self.packed) if self.packed else self.earlier
-        return "\n".join(unpack_text(each) for each in packed)
+        return "\n".join(decompress_text(each) for each in packed)
 
     @property
     def shown_size(self) -> int:
--- a/src/bellweir/hosted/batches/step_queue.py
+++ b/src/bellweir/hosted/batches/step_scheduler.py
@@ -12,7 +12,7 @@
 from bellweir.events.log import emit
 from bellweir.hosted.batches.progress import ItemProgress, Stage
 from bellweir.hosted.batches.state import JobState
-from bellweir.hosted.batches.step_order import (
+from bellweir.hosted.batches.step_ordering import (
     EnginesRoom,
     GroupNeed,
     MostInTime,
@@ -69,7 +69,7 @@
     return [(tuple(sorted(services)), group) for services, group in found]
 
 
-class StepQueue:
+class StepScheduler:
     """Called by the coordinator's task only."""
 
     def __init__(
@@ -95,7 +95,7 @@
         self._next_s = float("-inf")
         self._logged_s: dict[str, float] = {}
 
-    def look(
+    def update(
         self,
         steps: Sequence[OpenStep],
         progress_of: Mapping[ItemKey, ItemProgress],
--- a/src/bellweir/hosted/batches/texts.py
+++ b/src/bellweir/hosted/batches/text_compression.py
@@ -3,10 +3,10 @@
 A text crosses zones several times and stays in the log, in snapshots and in the memory of each
 replica and gateway, so every byte of it is paid for many times over.
 
->>> packed = pack_text("a text, a text, a text")
->>> unpack_text(packed)
+>>> packed = compress_text("a text, a text, a text")
+>>> decompress_text(packed)
 'a text, a text, a text'
->>> len(pack_text("la " * 1_000)) < 100
+>>> len(compress_text("la " * 1_000)) < 100
 True
 """
 
@@ -18,7 +18,7 @@
 PACKED = b"z"
 
 
-def pack_text(text: str) -> bytes:
+def compress_text(text: str) -> bytes:
     """Return the bytes that stand for a text, with a mark of how."""
     plain = text.encode("utf-8", "surrogateescape")
     if len(plain) >= SHORTEST_BYTES:
@@ -28,7 +28,7 @@
     return PLAIN + plain
 
 
-def unpack_text(packed: bytes) -> str:
+def decompress_text(packed: bytes) -> str:
     """Return the text; empty for no bytes."""
     plain = zlib.decompress(packed[1:]) if packed[:1] == PACKED else packed[1:]
     return plain.decode("utf-8", "surrogateescape")
--- a/src/bellweir/hosted/batches/failing.py
+++ b/src/bellweir/hosted/batches/worker_quarantine.py
@@ -9,13 +9,13 @@
 
 An item's answers of 500 count where they came from workers that are not failing everything.
 
->>> failing = FailingWorkers(now_s=lambda: 1.0)
+>>> failing = WorkerQuarantine(now_s=lambda: 1.0)
 >>> workers = [Incarnation(name) for name in ("i-1", "i-2", "i-3")]
 >>> failing.failed(workers[0], "item-1"), failing.failed(workers[0], "item-2")
 (1, 2)
->>> [failing.may_begin(worker, workers) for worker in workers]
+>>> [failing.may_start(worker, workers) for worker in workers]
 [False, True, True]
->>> failing.is_given_up([workers[0], workers[1]], 2, workers)
+>>> failing.has_exhausted_retries([workers[0], workers[1]], 2, workers)
 False
 """
 
@@ -61,10 +61,10 @@
         return len(self.items) >= FEWEST_ITEMS
 
 
-class FailingWorkers:
+class WorkerQuarantine:
     """What failed lately, by worker. Safe for threads.
 
-    Every run that `begun` was called for ends with `ended`.
+    Every run that `started` was called for ends with `ended`.
     """
 
     def __init__(self, now_s: Callable[[], float] = time.monotonic) -> None:
@@ -73,7 +73,7 @@
         self._rows: dict[Incarnation, _Row] = {}
         self._served_s: dict[Incarnation, float] = {}
 
-    def served(self, worker: Incarnation, began_s: float) -> bool:
+    def succeeded(self, worker: Incarnation, began_s: float) -> bool:
         """Note that something came of a run that began at the monotonic time `began_s`.
 
         A run that began before the worker's first failure tells nothing of new ones. Return
@@ -102,7 +102,7 @@
             )
             return row.failures
 
-    def begun(self, worker: Incarnation, item_id: str) -> None:
+    def started(self, worker: Incarnation, item_id: str) -> None:
         """Note that a run is sent; a worker that is left alone is tried by one at a time."""
         with self._lock:
             row = self._rows.get(worker)
@@ -116,12 +116,12 @@
             if row is not None and row.trial == item_id:
                 row.trial = None
 
-    def failing_all(self, service: Collection[Incarnation]) -> frozenset[Incarnation]:
+    def failing_workers(self, service: Collection[Incarnation]) -> frozenset[Incarnation]:
         """Return those of a service's workers that fail everything while their fellows don't."""
         with self._lock:
             return self._failing_all(service)
 
-    def may_begin(
+    def may_start(
         self, worker: Incarnation, service: Collection[Incarnation], *, is_trial: bool = True
     ) -> bool:
         """Tell whether a run may be sent to one of a service's workers now.
@@ -148,7 +148,7 @@
     def _may_try(self, row: "_Row") -> bool:
         return row.trial is None and self._now_s() >= row.until_s
 
-    def is_given_up(
+    def has_exhausted_retries(
         self, failed_at: Sequence[Incarnation], allowed: int, service: Collection[Incarnation]
     ) -> bool:
         """Tell whether an item has failed too often.
@@ -156,11 +156,11 @@
         `failed_at` names the worker of each answer of 500; `allowed` is how many of workers that
         serve others an item may get.
         """
-        failing = self.failing_all(service)
+        failing = self.failing_workers(service)
         counted = sum(worker not in failing for worker in failed_at)
-        return counted >= allowed or len(failed_at) >= most_answers(allowed)
+        return counted >= allowed or len(failed_at) >= max_server_errors(allowed)
 
-    def forget_others(self, incarnations: Collection[Incarnation]) -> None:
+    def retain(self, incarnations: Collection[Incarnation]) -> None:
         """Drop what is known of workers that are gone."""
         with self._lock:
             self._rows = {key: row for key, row in self._rows.items() if key in incarnations}
@@ -188,10 +188,10 @@
         return frozenset(worst[:most])
 
 
-def most_answers(allowed: int) -> int:
+def max_server_errors(allowed: int) -> int:
     """Return the answers of 500, whoever gave them, after which one leader gives an item up.
 
-    >>> [most_answers(allowed) for allowed in (1, 2, 3, 4)]
+    >>> [max_server_errors(allowed) for allowed in (1, 2, 3, 4)]
     [2, 3, 5, 6]
     """
     return -(-MOST_ANSWERS_FACTOR * allowed // LEADERS)
--- a/src/bellweir/hosted/batches/worker_choice.py
+++ b/src/bellweir/hosted/batches/worker_selection.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable, Collection, Sequence
 
 from bellweir.hosted.batches.attempts import ItemAttempts
-from bellweir.hosted.batches.engine_outlook import EngineOutlook
-from bellweir.hosted.batches.mover import Run
+from bellweir.hosted.batches.engine_forecast import EngineOutlook
 from bellweir.hosted.batches.progress import ItemProgress, Stage
+from bellweir.hosted.batches.run_mover import Run
 from bellweir.hosted.incarnation import Incarnation
 from bellweir.hosted.records import Route
 from bellweir.hosted.serving.selection import WeightedParts, WorkerLoads
@@ -14,7 +14,7 @@
 from bellweir.hosted.views.workers import Worker, WorkersView
 
 
-class WorkerChoice:
+class WorkerSelector:
     """Called by the coordinator's task; attempts ask it for the fellows of a worker."""
 
     def __init__(
@@ -33,11 +33,11 @@
         if policy.set_failing_aside:
             attempts.fellows_of = lambda worker: self._fellows(worker.entry.service)
 
-    def begin_look(self, running: Sequence[Run], table: RouteTable) -> None:
+    def begin_round(self, running: Sequence[Run], table: RouteTable) -> None:
         """Begin a look at what waits; `running` is what is in hand now."""
         self._outlook.begin(running, table)
 
-    def paces_of(self, service: str) -> list[tuple[float, int]]:
+    def event_times_of(self, service: str) -> list[tuple[float, int]]:
         """Seconds an event and places of each engine of a service."""
         return [
             (self._attempts.paces.of(worker.incarnation), worker.entry.slots)
@@ -49,7 +49,7 @@
         """Whether the item that got no worker waits for a better one, though others have room."""
         return self._outlook.is_held
 
-    def take_worker(self, progress: ItemProgress, table: RouteTable) -> Worker | None:
+    def acquire_worker(self, progress: ItemProgress, table: RouteTable) -> Worker | None:
         """Take a place at a worker with room; None when there is none now, or none good enough."""
         self._outlook.is_held = False
         if progress.stage is Stage.SCORE:
@@ -57,21 +57,21 @@
             return self._choose(route, progress, table) if route is not None else None
         return self._choose(progress.route, progress, table)
 
-    def targets(self, progress: ItemProgress, service: str) -> list[tuple[Worker, int]]:
+    def move_targets(self, progress: ItemProgress, service: str) -> list[tuple[Worker, int]]:
         """Workers of a service that an item's run could be moved to, with their free places."""
-        failing = self._attempts.failing.failing_all(self._fellows(service))
+        failing = self._attempts.failing.failing_workers(self._fellows(service))
         return [
             (worker, worker.entry.slots - self._loads.in_hand(worker.incarnation))
             for worker in self._fitting(service, progress)
             if worker.incarnation not in failing and self._has_room(worker, progress)
         ]
 
-    def is_particular(self, progress: ItemProgress) -> bool:
+    def has_own_constraints(self, progress: ItemProgress) -> bool:
         """Whether an item may lack a worker that other items of its job would get."""
         is_pinned = progress.route.single_version and bool(progress.versions)
         return bool(progress.failed_at_now) or is_pinned or self._policy.count_memory
 
-    def let_versions_go(self, progress: ItemProgress) -> None:
+    def restart_if_version_gone(self, progress: ItemProgress) -> None:
         """Begin a text anew that must be of one version, if no worker has that any more."""
         route, model = progress.route, progress.job.model
         if progress.stage is not Stage.TEXT or not route.single_version or not progress.versions:
@@ -143,9 +143,9 @@
 
     def _note_begun(self, worker: Worker, progress: ItemProgress) -> None:
         if progress.stage is Stage.TEXT:
-            self._attempts.refusals.begun(worker.incarnation, progress.job.model)
+            self._attempts.refusals.started(worker.incarnation, progress.job.model)
             self._outlook.begun(worker, progress)
-        self._attempts.failing.begun(worker.incarnation, progress.item.id)
+        self._attempts.failing.started(worker.incarnation, progress.item.id)
 
     def _fitting(self, service: str, progress: ItemProgress) -> list[Worker]:
         """Workers of a service that may run an item now, whether they have room or not.
@@ -190,7 +190,7 @@
             model = progress.job.model
             refusals = self._attempts.refusals
             is_guarded = self._policy.guard_refusals
-            if is_guarded and not refusals.may_begin(worker.incarnation, model):
+            if is_guarded and not refusals.may_start(worker.incarnation, model):
                 return False
             if not self._outlook.has_memory(worker, progress):
                 return False
