--- a/features/steps/hosted_batches_steps.py
+++ b/features/steps/hosted_batches_steps.py
@@ -539,7 +539,7 @@
 def then_not_avoided(context):
     loads = context.leader.coordinator._loads
     for worker in context.leader.models:
-        assert loads.in_hand(worker.incarnation) == 0
+        assert loads.in_flight(worker.incarnation) == 0
         assert loads._load(worker.incarnation).failures == 0, worker.instance
 
 
--- a/features/steps/hosted_choice_steps.py
+++ b/features/steps/hosted_choice_steps.py
@@ -92,7 +92,7 @@
     found = []
     for _ in range(count):
         found.append(context.loads.choose([context.slow, context.sound], ()))
-        context.loads.released(found[-1].incarnation)
+        context.loads.release(found[-1].incarnation)
     return found
 
 
@@ -133,8 +133,8 @@
         loads = WorkerLoads("a", sight=sight)
         workers = [worker_of(number) for number in range(2)]
         for worker in workers:
-            loads.take(worker)
-            loads.answered(worker.incarnation, 0.1)
+            loads.acquire(worker)
+            loads.record_success(worker.incarnation, 0.1)
         first = workers[0].incarnation
         sight.known[first] = WorkerSeen(first, load=load, load_age_s=age_s)
         return [loads._rank(worker, time.monotonic(), None)[:-1] for worker in workers]
@@ -250,10 +250,10 @@
         ranks = []
         for each in (plain, sighted):
             for worker, (in_hand, seconds) in zip(workers, loads, strict=True):
-                each.take(worker)
-                each.answered(worker.incarnation, seconds)
+                each.acquire(worker)
+                each.record_success(worker.incarnation, seconds)
                 for _ in range(in_hand):
-                    each.take(worker)
+                    each.acquire(worker)
             ranks.append([each._rank(worker, 0.0, None)[:-1] for worker in workers])
         assert ranks[0] == ranks[1]
 
@@ -270,21 +270,21 @@
     worker = worker_of(1)
 
     def end(state, **more):
-        loads.take(worker)
-        FailedAttempt("r", 1, worker, state, "", 900, **more).note(loads)
+        loads.acquire(worker)
+        FailedAttempt("r", 1, worker, state, "", 900, **more).record(loads)
 
-    loads.take(worker)
-    loads.answered(worker.incarnation, 0.1)
+    loads.acquire(worker)
+    loads.record_success(worker.incarnation, 0.1)
     end(AttemptState.ANSWERED)
     end(AttemptState.REFUSED)
     end(AttemptState.NOT_SENT)
-    end(AttemptState.UNKNOWN, is_late=True)
-    end(AttemptState.UNKNOWN, is_late=True, is_cancelled=True)
+    end(AttemptState.UNKNOWN, is_timed_out=True)
+    end(AttemptState.UNKNOWN, is_timed_out=True, is_cancelled=True)
     told = [outcome for _, outcome in sight.ends]
     failed = SeenOutcome.FAILED
     expected = [SeenOutcome.SERVED, failed, SeenOutcome.REFUSED, failed]
     assert told == [*expected, SeenOutcome.LATE, SeenOutcome.UNKNOWN], told
-    assert loads.in_hand(worker.incarnation) == 0
+    assert loads.in_flight(worker.incarnation) == 0
 
 
 @given_step("{gateways:d} gateways in {zones:d} zones that share their sight")
@@ -303,7 +303,7 @@
             tried = []
             while (worker := loads.choose(context.entries, tried)) is not None:
                 tried.append(worker.incarnation)
-                loads.failed(worker.incarnation)
+                loads.record_failure(worker.incarnation)
             context.first += 1
             context.further += len(tried) - 1
         context.network.run(1)
--- a/features/steps/hosted_forwarding_steps.py
+++ b/features/steps/hosted_forwarding_steps.py
@@ -20,14 +20,14 @@
 from bellweir.hosted.serving.attempt import (
     AttemptOutcome,
     AttemptState,
+    BufferedResponse,
     Cancellation,
-    WholeAnswer,
     WorkerConnections,
 )
 from bellweir.hosted.serving.client_request import ClientRequest
 from bellweir.hosted.serving.forwarding import Forwarder
 from bellweir.hosted.serving.metrics import RequestMetrics
-from bellweir.hosted.serving.selection import WeightedParts, WorkerLoads
+from bellweir.hosted.serving.selection import WeightedRoundRobin, WorkerLoads
 from bellweir.hosted.serving.service import FrontService
 from bellweir.hosted.views.configuration import RouteTable
 from bellweir.hosted.views.workers import WorkersView
@@ -81,7 +81,7 @@
     """Have worker "b" passed over for a moment, as one that has just said it is full."""
     second = context.gateway.workers.worker("i-b")
     context.gateway.loads.choose([second], ())
-    context.gateway.loads.refused(second.incarnation)
+    context.gateway.loads.record_refusal(second.incarnation)
 
 
 @given_step("the workers' entries name other instances")
@@ -213,7 +213,7 @@
     @given(weights=st.lists(st.integers(0, 9), min_size=2, max_size=4).filter(any))
     def shared(weights):
         parts = tuple((f"service-{number}", float(weight)) for number, weight in enumerate(weights))
-        split, counts = WeightedParts(), dict.fromkeys((name for name, _ in parts), 0)
+        split, counts = WeightedRoundRobin(), dict.fromkeys((name for name, _ in parts), 0)
         total = sum(weights)
         rounds = 5
         for _ in range(rounds * total):
@@ -230,7 +230,7 @@
     loads, workers = context.gateway.loads, context.gateway.workers.all()
 
     def in_hand():
-        return sum(loads.in_hand(worker.incarnation) for worker in workers)
+        return sum(loads.in_flight(worker.incarnation) for worker in workers)
 
     deadline_s = time.monotonic() + 0.5
     while in_hand() and time.monotonic() < deadline_s:
@@ -251,12 +251,12 @@
     worker = context.gateway.workers.worker("i-a")
     for number in range(60):
         progress, cancellation = ItemProgress(job, route, job.items[0]), Cancellation()
-        loads.take(worker)
+        loads.acquire(worker)
         timer = threading.Timer(0.0004 * number, cancellation.cancel)
         timer.start()
         attempts.run_text(progress, worker, cancellation)
         timer.join()
-        assert loads.in_hand(worker.incarnation) == 0
+        assert loads.in_flight(worker.incarnation) == 0
 
 
 STATES = st.sampled_from(("answered", "failed", "refused", "not_sent", "unknown", "unknown_ran"))
@@ -277,7 +277,7 @@
             self.ran.append(worker.instance)
         if outcome in ("answered", "failed"):
             status = 200 if outcome == "answered" else 500
-            return AttemptOutcome(AttemptState.ANSWERED, "", WholeAnswer(status, [], b""))
+            return AttemptOutcome(AttemptState.ANSWERED, "", BufferedResponse(status, [], b""))
         return AttemptOutcome(AttemptState(outcome.removesuffix("_ran")))
 
 
@@ -320,7 +320,7 @@
             assert not connections.ran, "refused although it ran"
         if response.status in (200, 500):
             assert connections.ran, "a worker's answer without a run"
-        assert all(loads.in_hand(worker.incarnation) == 0 for worker in view.all())
+        assert all(loads.in_flight(worker.incarnation) == 0 for worker in view.all())
 
     true_always()
 
--- a/features/steps/hosted_starts_steps.py
+++ b/features/steps/hosted_starts_steps.py
@@ -474,7 +474,7 @@
     gateway = context.gateway
     other = gateway.workers.worker("i-2")
     gateway.loads.choose([other], ())
-    gateway.loads.refused(other.incarnation)
+    gateway.loads.record_refusal(other.incarnation)
     count = len(context.process.ran())
     sent = context.pool.submit(gateway.send, path)
     context.wait_until(lambda: len(context.process.ran()) > count, f"{path} runs")
@@ -492,7 +492,7 @@
     )
     context.stream = send_to_process(context, "/resumable/x")
     context.single = send_to_process(context, "/single/x")
-    gateway.loads.take(worker)
+    gateway.loads.acquire(worker)
     text = context.pool.submit(context.attempts.run_text, context.progress, worker, Cancellation())
     context.wait_until(lambda: context.progress.events > 0, "the text begins")
 
@@ -516,7 +516,7 @@
     assert told == wanted, stream.body
     worker, text = context.gateway.workers.worker("i-1"), context.progress
     assert 0 < text.events < EVENTS
-    context.gateway.loads.take(worker)
+    context.gateway.loads.acquire(worker)
     context.attempts.run_text(text, worker, Cancellation())
     assert "\n".join(text.pieces) == text_of(text.item.id, EVENTS)
 
@@ -535,7 +535,7 @@
     assert worker.incarnation != context.former
     assert loads._load(context.former).failures >= 3
     assert loads._load(worker.incarnation).failures == 0
-    assert loads.in_hand(worker.incarnation) == 0
+    assert loads.in_flight(worker.incarnation) == 0
     assert context.controller.held_version(worker, MODEL) == 1
 
     def is_loaded():
--- a/features/steps/hosted_usage_steps.py
+++ b/features/steps/hosted_usage_steps.py
@@ -15,7 +15,7 @@
 from bellweir.hosted.usage import reporter as reporter_module
 from bellweir.hosted.usage.counter import UsageCounter
 from bellweir.hosted.usage.reporter import UsageReporter
-from bellweir.hosted.usage.sender import UsageTeller
+from bellweir.hosted.usage.sender import UsageSender
 from bellweir.hosted.usage.state import (
     AddUsage,
     SettleUsage,
@@ -23,7 +23,7 @@
     UsageWindows,
     WindowCounts,
 )
-from bellweir.hosted.usage.true_time import LASTING_S, TrueTime
+from bellweir.hosted.usage.wall_clock import JUMP_CONFIRMATION_S, StableWallClock
 from bellweir.ledger.interface import LedgerError, LedgerErrorKind
 from bellweir.ledger.machines import Codec
 from bellweir_platform.duties import PlatformDuties
@@ -79,7 +79,7 @@
 
 
 def make_reporter(ledger, lease, platform, clock, node="node"):
-    true_time = TrueTime(clock, clock)
+    true_time = StableWallClock(clock, clock)
     return UsageReporter(lease, ledger, platform, SETTINGS, node, true_time, lambda: True)
 
 
@@ -107,10 +107,10 @@
             for name, value in faults.items():
                 setattr(worker.faults, name, value)
         context.gateway.send(path, more=more)
-        untold = context.gateway.usage.take_untold()
+        unsent = context.gateway.usage.take_unsent()
         # A window may end at any moment: what is told of the next one begins anew.
-        by_window.update({each.window: each.counts.get("dealers", 0) for each in untold})
-        return sum(by_window.values()), bool(untold)
+        by_window.update({each.window: each.counts.get("dealers", 0) for each in unsent})
+        return sum(by_window.values()), bool(unsent)
 
     assert counted() == (1, True)
     assert counted("/single/x") == (2, True)
@@ -136,18 +136,18 @@
     @given(steps=st.lists(step, max_size=60))
     def sums(steps):
         ledger = UsageLedger()
-        counters = [UsageCounter(1.0, TrueTime(lambda: 0.0, lambda: 0.0)) for _ in range(3)]
-        tellers = [UsageTeller(counters[at], ledger, f"gateway-{at}") for at in range(3)]
+        counters = [UsageCounter(1.0, StableWallClock(lambda: 0.0, lambda: 0.0)) for _ in range(3)]
+        senders = [UsageSender(counters[at], ledger, f"gateway-{at}") for at in range(3)]
         begun, told, settled = [{}, {}, {}], {}, {}
         for what, number, detail in steps:
             if what == "begin":
-                counters[number].began("t", detail + 0.5)
+                counters[number].record_start("t", detail + 0.5)
                 begun[number][detail] = begun[number].get(detail, 0) + 1
             elif what == "tell":
                 ledger.is_away, ledger.loses_answers = detail == "away", detail == "lost"
                 kept = sorted(begun[number])[-8:]
                 begun[number] = {window: begun[number][window] for window in kept}
-                tellers[number].tell(1.0)
+                senders[number].send(1.0)
                 if detail != "away":
                     told.update({(number, w): n for w, n in begun[number].items()})
                 ledger.is_away = ledger.loses_answers = False
@@ -175,17 +175,17 @@
 
 @then("counts are told again until they are there, and none twice")
 def then_told(context):
-    counter = UsageCounter(5.0, TrueTime(lambda: 0.0, lambda: 0.0))
-    teller = UsageTeller(counter, context.ledger, "gateway")
-    counter.began("t", 1.0)
-    assert not teller.tell(1.0)
-    counter.began("t", 2.0)
+    counter = UsageCounter(5.0, StableWallClock(lambda: 0.0, lambda: 0.0))
+    sender = UsageSender(counter, context.ledger, "gateway")
+    counter.record_start("t", 1.0)
+    assert not sender.send(1.0)
+    counter.record_start("t", 2.0)
     context.ledger.is_away, context.ledger.loses_answers = False, True
-    assert not teller.tell(1.0)
+    assert not sender.send(1.0)
     context.ledger.loses_answers = False
-    assert teller.tell(1.0)
-    counter.began("t", 3.0)
-    assert teller.tell(1.0)
+    assert sender.send(1.0)
+    counter.record_start("t", 3.0)
+    assert sender.send(1.0)
     reply = context.ledger.submit("", SettleUsage(0), 1.0).unwrap()
     assert reply == UsageSettled({"t": 3})
     late = context.ledger.submit("", AddUsage("g", (WindowCounts(0, {"t": 9}),)), 1.0).unwrap()
@@ -312,7 +312,7 @@
 @then("true time does not follow a jump that does not last, and follows one that does")
 def then_true(context):
     now = SimpleNamespace(steady_s=0.0, jump_s=0.0)
-    true_time = TrueTime(lambda: 100.0 + now.steady_s + now.jump_s, lambda: now.steady_s)
+    true_time = StableWallClock(lambda: 100.0 + now.steady_s + now.jump_s, lambda: now.steady_s)
 
     def after(seconds, jump_s):
         now.jump_s = jump_s
@@ -326,7 +326,7 @@
     assert after(5.0, 0.0) == 100.0
     assert after(6.0, -2.0) == 100.0
     assert after(5.0, 0.01) == 100.01
-    assert after(LASTING_S + 1.0, 2.0) == 102.0
+    assert after(JUMP_CONFIRMATION_S + 1.0, 2.0) == 102.0
 
 
 @given_step("a platform that takes usage reports")
--- a/features/support/hosted_gateway.py
+++ b/features/support/hosted_gateway.py
@@ -21,7 +21,7 @@
 from bellweir.hosted.sight.interface import WorkerSeen
 from bellweir.hosted.tenants.admission import KeyCheck
 from bellweir.hosted.usage.counter import UsageCounter
-from bellweir.hosted.usage.true_time import TrueTime
+from bellweir.hosted.usage.wall_clock import StableWallClock
 from bellweir.hosted.views.configuration import ConfigurationView
 from bellweir.hosted.views.workers import WorkersView
 from bellweir.http_server.caller_watch import CallerWatch
@@ -88,9 +88,9 @@
         self.caller_watch = CallerWatch(self.executors)
         self.caller_watch.start()
         self.metrics = RequestMetrics()
-        self.usage = UsageCounter(USAGE_WINDOW_S, TrueTime())
+        self.usage = UsageCounter(USAGE_WINDOW_S, StableWallClock())
         self.known_workers = WorkersSeen()
-        room = ObservedRoom(self.loads.in_hand, self.loads.mean_s, sight or self.known_workers)
+        room = ObservedRoom(self.loads.in_flight, self.loads.mean_s, sight or self.known_workers)
         self.room_settings = room_settings or RoomSettings()
         self.refused = []
         self.gate = RequestGate(room, self.room_settings, self.refused.append)
--- a/src/bellweir/hosted/batches/api.py
+++ b/src/bellweir/hosted/batches/api.py
@@ -29,7 +29,7 @@
 from bellweir.hosted.interface import CallPaths, HeaderNames
 from bellweir.hosted.log_events import JOB_ACCEPTED, JOB_ENDED, JOB_NOT_ACCEPTED
 from bellweir.hosted.records import Route
-from bellweir.hosted.serving.forwarding import own_response
+from bellweir.hosted.serving.forwarding import gateway_response
 from bellweir.http_server.http import BadRequestError, Request, Response, parse_integer
 from bellweir.ledger.interface import Ledger, LedgerError, LedgerErrorKind, Reply
 
@@ -102,7 +102,7 @@
         match outcome:
             case Success(JobAccepted(is_foreign=True)):
                 emit(JOB_NOT_ACCEPTED, request_id=job.id, status=409, cause="another tenant's id")
-                return own_response(409, "id_in_use")
+                return gateway_response(409, "id_in_use")
             case Success(JobAccepted()):
                 emit(
                     JOB_ACCEPTED,
@@ -118,7 +118,7 @@
                 return Response(202)
             case Failure(error):
                 return self._not_accepted(job, error)
-        return own_response(500, "unexpected_reply")
+        return gateway_response(500, "unexpected_reply")
 
     def _submit_job(self, job: Job, deadline_s: float) -> Result[Reply, LedgerError]:
         """Submit until the outcome is known: the command is idempotent by the job's id."""
@@ -153,7 +153,7 @@
         surely_not = error.kind is LedgerErrorKind.UNAVAILABLE
         status = 503 if surely_not else 504
         emit(JOB_NOT_ACCEPTED, request_id=job.id, status=status, cause=error.detail[:160])
-        return own_response(status, "not_accepted", RETRY_AFTER_S if surely_not else None)
+        return gateway_response(status, "not_accepted", RETRY_AFTER_S if surely_not else None)
 
     def serve_call(self, request: Request, tenant: str = "") -> Response:
         """Serve a reading, an item's body or an end, as far as `tenant` may know of the job."""
@@ -165,7 +165,7 @@
             return self._end(job_id, tenant)
         if request.method == "GET":
             return self._results(request, job_id, tenant)
-        return own_response(405, "method_not_allowed")
+        return gateway_response(405, "method_not_allowed")
 
     def _results(self, request: Request, job_id: str, tenant: str) -> Response:
         after = parse_integer("after", request.query("after") or "0")
@@ -174,9 +174,9 @@
         while True:
             page = self._read_page(job_id, after, tenant)
             if page is None:
-                return own_response(503, "no_ledger", RETRY_AFTER_S)
+                return gateway_response(503, "no_ledger", RETRY_AFTER_S)
             if page.total is None:
-                return own_response(404, "no_such_job")
+                return gateway_response(404, "no_such_job")
             held = not page.results and time.monotonic() < until_s
             if not held or request.caller_has_left():
                 content = encode_bounded_page(page.total, after, page.results)
@@ -243,9 +243,9 @@
         if not isinstance(found, ItemBody):
             found = self._body_of_replicas(query)
         if found is None:
-            return own_response(503, "no_ledger", RETRY_AFTER_S)
+            return gateway_response(503, "no_ledger", RETRY_AFTER_S)
         if found.body is None:
-            return own_response(404, "no_such_item")
+            return gateway_response(404, "no_such_item")
         return Response(200, [("Content-Type", "application/octet-stream")], found.body)
 
     def _body_of_replicas(self, query: ReadItem) -> ItemBody | None:
@@ -264,10 +264,10 @@
         match ended:
             case Success(JobEnded(is_known)):
                 if not is_known:
-                    return own_response(404, "no_such_job")
+                    return gateway_response(404, "no_such_job")
                 emit(JOB_ENDED, request_id=job_id, listed=None, items=None)
                 return Response(200)
-        return own_response(503, "no_ledger", RETRY_AFTER_S)
+        return gateway_response(503, "no_ledger", RETRY_AFTER_S)
 
 
 def _is_at_end(page: ResultsPage, after: int) -> bool:
--- a/src/bellweir/hosted/batches/attempts.py
+++ b/src/bellweir/hosted/batches/attempts.py
@@ -32,7 +32,7 @@
     OpenedAttempt,
     WorkerCall,
     WorkerConnections,
-    read_whole,
+    read_response,
 )
 from bellweir.hosted.serving.selection import WorkerLoads
 from bellweir.hosted.views.workers import Worker
@@ -147,7 +147,7 @@
         """End a run that this node itself wants no more: no fault of the worker's."""
         if opened is not None:
             opened.drop()
-        self._loads.released(worker.incarnation)
+        self._loads.release(worker.incarnation)
         self._log_broken(progress, worker, ENDED_HERE)
 
     def _read_events(
@@ -185,7 +185,7 @@
             self._broken(progress, worker, failure)
             return
         opened.finish()
-        self._loads.answered(worker.incarnation, time.monotonic() - began_s)
+        self._loads.record_success(worker.incarnation, time.monotonic() - began_s)
         self.lengths.finished(progress.item.id, progress.guessed_tokens, progress.events)
         progress.text_is_whole()
 
@@ -207,27 +207,27 @@
         if isinstance(failure, VersionMixedError | EventsMissingError):
             progress.restart()
         if isinstance(failure, VersionTooOldError | VersionMixedError):
-            self._loads.refused(worker.incarnation)
+            self._loads.record_refusal(worker.incarnation)
         else:
-            self._loads.failed(worker.incarnation)
+            self._loads.record_failure(worker.incarnation)
         self._log_broken(progress, worker, repr(failure))
 
     def _not_answered(self, progress: ItemProgress, worker: Worker, opened: OpenedAttempt) -> None:
         if opened.opened is not None:
-            read_whole(opened.opened, opened)
+            read_response(opened.opened, opened)
         if opened.state is AttemptState.REFUSED:
-            self._loads.released(worker.incarnation)
+            self._loads.release(worker.incarnation)
             progress.not_before_s = time.monotonic() + REFUSED_PAUSE_S
         else:
-            self._loads.failed(worker.incarnation)
+            self._loads.record_failure(worker.incarnation)
             progress.not_before_s = time.monotonic() + FAILED_PAUSE_S
         self._log_broken(progress, worker, f"{opened.state.value}: {opened.detail}")
 
     def _failed_answer(self, progress: ItemProgress, worker: Worker, opened: OpenedAttempt) -> None:
         status = opened.opened.status if opened.opened is not None else SERVER_ERROR
         if opened.opened is not None:
-            read_whole(opened.opened, opened)
-        self._loads.released(worker.incarnation)
+            read_response(opened.opened, opened)
+        self._loads.release(worker.incarnation)
         progress.not_before_s = time.monotonic() + FAILED_PAUSE_S
         self._note_failure(progress, worker, status)
         if status == UNPROCESSABLE:
@@ -247,7 +247,7 @@
         """Have the whole text scored."""
         scorer = progress.item.scorer
         if scorer is None:
-            self._loads.released(worker.incarnation)
+            self._loads.release(worker.incarnation)
             progress.finish("")
             return
         began_s = time.monotonic()
@@ -261,17 +261,17 @@
             return
         if outcome.state is AttemptState.ANSWERED and answer is not None:
             if answer.status < 300:
-                self._loads.answered(worker.incarnation, time.monotonic() - began_s)
+                self._loads.record_success(worker.incarnation, time.monotonic() - began_s)
                 self._note_served(worker, began_s)
                 progress.finish(_header(answer.headers, self._connections.headers.stamp))
                 return
             # How soon a worker fails tells nothing of how soon it serves.
-            self._loads.released(worker.incarnation)
+            self._loads.release(worker.incarnation)
             self._score_failed(progress, answer.status, maximum_failures, worker)
         elif outcome.state is AttemptState.REFUSED:
-            self._loads.refused(worker.incarnation)
+            self._loads.record_refusal(worker.incarnation)
         else:
-            self._loads.failed(worker.incarnation)
+            self._loads.record_failure(worker.incarnation)
         progress.not_before_s = time.monotonic() + FAILED_PAUSE_S
         self._log_broken(progress, worker, f"scoring: {outcome.state.value} {outcome.detail}")
 
--- a/src/bellweir/hosted/batches/coordinator.py
+++ b/src/bellweir/hosted/batches/coordinator.py
@@ -234,7 +234,7 @@
                 maximum.max_attempts if maximum else 1,
             )
         except (ExecutorSaturatedError, RuntimeError):
-            self._loads.released(worker.incarnation)
+            self._loads.release(worker.incarnation)
             self._attempts.refusals.ended(worker.incarnation, progress.job.model)
             self._attempts.failing.ended(worker.incarnation, progress.item.id)
             with self._lock:
@@ -251,7 +251,7 @@
                 self._attempts.run_score(progress, worker, maximum_failures, run.cancellation)
         except Exception:
             # Reported by the executor; the worker's place must not stay taken for good.
-            self._loads.released(worker.incarnation)
+            self._loads.release(worker.incarnation)
             raise
         finally:
             self._attempts.failing.ended(worker.incarnation, progress.item.id)
--- a/src/bellweir/hosted/batches/worker_choice.py
+++ b/src/bellweir/hosted/batches/worker_choice.py
@@ -8,7 +8,7 @@
 from bellweir.hosted.batches.progress import ItemProgress, Stage
 from bellweir.hosted.incarnation import Incarnation
 from bellweir.hosted.records import Route
-from bellweir.hosted.serving.selection import WeightedParts, WorkerLoads
+from bellweir.hosted.serving.selection import WeightedRoundRobin, WorkerLoads
 from bellweir.hosted.settings import BatchSettings
 from bellweir.hosted.views.configuration import RouteTable
 from bellweir.hosted.views.workers import Worker, WorkersView
@@ -28,7 +28,7 @@
         self._loads = loads
         self._attempts = attempts
         self._policy = policy
-        self._parts = WeightedParts()
+        self._parts = WeightedRoundRobin()
         self._outlook = EngineOutlook(attempts, policy)
         if policy.set_failing_aside:
             attempts.fellows_of = lambda worker: self._fellows(worker.entry.service)
@@ -61,7 +61,7 @@
         """Workers of a service that an item's run could be moved to, with their free places."""
         failing = self._attempts.failing.failing_all(self._fellows(service))
         return [
-            (worker, worker.entry.slots - self._loads.in_hand(worker.incarnation))
+            (worker, worker.entry.slots - self._loads.in_flight(worker.incarnation))
             for worker in self._fitting(service, progress)
             if worker.incarnation not in failing and self._has_room(worker, progress)
         ]
@@ -122,10 +122,10 @@
         outlook = self._outlook
         if progress.stage is Stage.SCORE or not with_room or not outlook.is_uneven(fitting):
             return self._loads.choose(with_room, (), pace_of)
-        full = [one for one in fitting if self._loads.in_hand(one.incarnation) >= one.entry.slots]
+        full = [one for one in fitting if self._loads.in_flight(one.incarnation) >= one.entry.slots]
         chosen = outlook.choose(with_room, full, progress)
         if chosen is not None:
-            self._loads.take(chosen)
+            self._loads.acquire(chosen)
         return chosen
 
     def _moved_target(self, route: Route, progress: ItemProgress) -> Worker | None:
@@ -136,7 +136,7 @@
             for worker in self._fitting(part.service, progress):
                 is_target = worker.incarnation == progress.moved_to
                 if is_target and self._has_room(worker, progress):
-                    self._loads.take(worker)
+                    self._loads.acquire(worker)
                     self._note_begun(worker, progress)
                     return worker
         return None
@@ -183,7 +183,7 @@
         return [worker.incarnation for worker in self._workers.ready(service)]
 
     def _is_passed_over(self, worker: Worker) -> bool:
-        return self._policy.pass_over_failed and self._loads.is_avoided(worker.incarnation)
+        return self._policy.pass_over_failed and self._loads.is_penalized(worker.incarnation)
 
     def _has_room(self, worker: Worker, progress: ItemProgress) -> bool:
         if progress.stage is Stage.TEXT:
@@ -194,7 +194,7 @@
                 return False
             if not self._outlook.has_memory(worker, progress):
                 return False
-        return self._loads.in_hand(worker.incarnation) < worker.entry.slots
+        return self._loads.in_flight(worker.incarnation) < worker.entry.slots
 
 
 def score_route(progress: ItemProgress, table: RouteTable) -> Route | None:
--- a/src/bellweir/hosted/serving/application.py
+++ b/src/bellweir/hosted/serving/application.py
@@ -10,7 +10,7 @@
 from bellweir.hosted.log_events import REQUEST_GIVEN_UP
 from bellweir.hosted.records import RouteKind
 from bellweir.hosted.serving.client_request import read_client_request, with_urgency
-from bellweir.hosted.serving.forwarding import Forwarder, own_response
+from bellweir.hosted.serving.forwarding import Forwarder, gateway_response
 from bellweir.hosted.serving.streams import StreamForwarder
 from bellweir.hosted.tenants.admission import KeyCheck
 from bellweir.hosted.tenants.interface import Admission, Verdict
@@ -74,7 +74,7 @@
     def _respond(self, request: Request) -> Response:
         table = self._configuration.table()
         if table is None:
-            return own_response(503, "no_configuration", NO_CONFIGURATION_RETRY_AFTER_S)
+            return gateway_response(503, "no_configuration", NO_CONFIGURATION_RETRY_AFTER_S)
         host = request.header("Host") or ""
         if self._batches.is_call(request):
             admission = self._admit(request, table, is_public=table.has_public_jobs(host))
@@ -83,7 +83,7 @@
         route = table.find(host, request.raw_path)
         if route is None and table.is_closed(host, request.raw_path):
             self._note_refusal(request, 503, "route_unreadable")
-            return own_response(503, "route_unreadable", NO_CONFIGURATION_RETRY_AFTER_S)
+            return gateway_response(503, "route_unreadable", NO_CONFIGURATION_RETRY_AFTER_S)
         if route is None:
             return self._refuse(request, 404, "no_route")
         admission = self._admit(request, table, is_public=route.public)
@@ -112,12 +112,12 @@
         if admission.verdict is Verdict.REFUSED:
             return self._refuse(request, 401, "unknown_key")
         if admission.verdict is Verdict.UNDECIDED:
-            return own_response(503, "key_undecided", UNDECIDED_RETRY_AFTER_S)
+            return gateway_response(503, "key_undecided", UNDECIDED_RETRY_AFTER_S)
         return None
 
     def _refuse(self, request: Request, status: int, cause: str) -> Response:
         self._note_refusal(request, status, cause)
-        response = own_response(status, "refused" if status < 500 else "internal_error")
+        response = gateway_response(status, "refused" if status < 500 else "internal_error")
         if status == 401:
             response.headers.append(("WWW-Authenticate", "Bearer"))
         return response
--- a/src/bellweir/hosted/serving/attempt.py
+++ b/src/bellweir/hosted/serving/attempt.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True)
-class WholeAnswer:
+class BufferedResponse:
     """A worker's answer with its whole body."""
 
     status: int
@@ -56,7 +56,7 @@
 
     state: AttemptState
     detail: str = ""
-    answer: WholeAnswer | None = None
+    answer: BufferedResponse | None = None
     """The worker's answer; also of a refusal, where there was one."""
 
 
@@ -90,7 +90,7 @@
         self._answer: OpenAnswer | None = None
         self.cancelled = threading.Event()
 
-    def begin(self, answer: OpenAnswer) -> None:
+    def attach(self, answer: OpenAnswer) -> None:
         """Note the attempt in hand."""
         with self._lock:
             self._answer = answer
@@ -112,11 +112,11 @@
     def __init__(
         self,
         headers: HeaderNames,
-        load_told: Callable[[Incarnation, WorkerLoad], None] = lambda _worker, _load: None,
+        on_load: Callable[[Incarnation, WorkerLoad], None] = lambda _worker, _load: None,
     ) -> None:
-        """`load_told` gets what a worker says of its own load on an answer."""
+        """`on_load` gets what a worker says of its own load on an answer."""
         self.headers = headers
-        self._load_told = load_told
+        self._on_load = on_load
         self._lock = threading.Lock()
         self._pools: dict[str, ConnectionPool] = {}
 
@@ -168,7 +168,7 @@
         headers[names.deadline_ms] = str(max(1, int(deadline_ms)))
         headers[names.expect_instance] = worker.instance
         sent = HttpCall(call.method, call.path, timeout_s, headers)
-        opened = self.pool(worker.address).open(sent, call.body, cancellation.begin)
+        opened = self.pool(worker.address).open(sent, call.body, cancellation.attach)
         if not isinstance(opened, Success):
             error = opened.failure()
             unknown = error.kind is ErrorKind.UNKNOWN
@@ -181,7 +181,7 @@
         text = opened.headers.get(self.headers.server_load.lower())
         load = parse_load(text) if text else None
         if load is not None:
-            self._load_told(worker, load)
+            self._on_load(worker, load)
 
     def _judge(self, opened: OpenAnswer, request_id: str) -> OpenedAttempt:
         names = self.headers
@@ -214,10 +214,10 @@
         began = self.open(worker, call, timeout_s, deadline_ms, cancellation)
         if began.opened is None:
             return AttemptOutcome(began.state, began.detail)
-        return read_whole(began.opened, began)
+        return read_response(began.opened, began)
 
 
-def read_whole(opened: OpenAnswer, began: OpenedAttempt) -> AttemptOutcome:
+def read_response(opened: OpenAnswer, began: OpenedAttempt) -> AttemptOutcome:
     """Read the rest of an answer; one that is cut leaves its run unknown."""
     try:
         body = opened.read_all()
@@ -227,12 +227,12 @@
         if began.state is AttemptState.REFUSED:
             state = began.state
         return AttemptOutcome(state, f"answer cut: {failure!r}")
-    answer = WholeAnswer(opened.status, passed_on(opened), body)
+    answer = BufferedResponse(opened.status, response_headers(opened), body)
     opened.finish()
     return AttemptOutcome(began.state, began.detail, answer)
 
 
-def passed_on(opened: OpenAnswer) -> Headers:
+def response_headers(opened: OpenAnswer) -> Headers:
     """Headers of a worker's answer that go on to the client."""
     return without_hop_by_hop(list(opened.response.headers.items()))
 
--- a/src/bellweir/hosted/serving/failed_attempt.py
+++ b/src/bellweir/hosted/serving/failed_attempt.py
@@ -23,7 +23,7 @@
     __slots__ = (
         "detail",
         "is_cancelled",
-        "is_late",
+        "is_timed_out",
         "milliseconds",
         "number",
         "request_id",
@@ -40,14 +40,14 @@
         detail: str,
         milliseconds: int,
         *,
-        is_late: bool = False,
+        is_timed_out: bool = False,
         is_cancelled: bool = False,
     ) -> None:
         """`number` counts the sends of the request from 1; `milliseconds` is the time taken.
 
-        A try that `is_late` was given up here; one that `is_cancelled` ended with its client.
+        A try that `is_timed_out` was given up here; one that `is_cancelled` ended with its client.
         """
-        self.is_late = is_late
+        self.is_timed_out = is_timed_out
         self.is_cancelled = is_cancelled
         self.request_id = request_id
         self.number = number
@@ -56,7 +56,7 @@
         self.detail = detail
         self.milliseconds = milliseconds
 
-    def note(self, loads: WorkerLoads) -> str:
+    def record(self, loads: WorkerLoads) -> str:
         """Release the worker's place with a verdict on the worker, log it, return the cause.
 
         A worker that answered at all is only passed over for a moment. One that was not reached
@@ -79,12 +79,12 @@
     def _release(self, loads: WorkerLoads) -> None:
         incarnation = self.worker.incarnation
         if self.state is AttemptState.ANSWERED:
-            loads.answered_failure(incarnation)
+            loads.record_error_response(incarnation)
         elif self.state is AttemptState.REFUSED:
-            loads.refused(incarnation)
+            loads.record_refusal(incarnation)
         elif self.is_cancelled:
-            loads.released(incarnation)
-        elif self.is_late:
-            loads.late(incarnation, self.milliseconds / MS_PER_S)
+            loads.release(incarnation)
+        elif self.is_timed_out:
+            loads.record_timeout(incarnation, self.milliseconds / MS_PER_S)
         else:
-            loads.failed(incarnation)
+            loads.record_failure(incarnation)
--- a/src/bellweir/hosted/serving/forwarding.py
+++ b/src/bellweir/hosted/serving/forwarding.py
@@ -19,14 +19,14 @@
 from bellweir.hosted.serving.attempt import (
     AttemptOutcome,
     AttemptState,
+    BufferedResponse,
     Cancellation,
-    WholeAnswer,
     WorkerConnections,
 )
 from bellweir.hosted.serving.client_request import MS_PER_S, ClientRequest
 from bellweir.hosted.serving.failed_attempt import FailedAttempt
 from bellweir.hosted.serving.metrics import RequestMetrics
-from bellweir.hosted.serving.selection import WeightedParts, WorkerLoads
+from bellweir.hosted.serving.selection import WeightedRoundRobin, WorkerLoads
 from bellweir.hosted.usage.counter import UsageCounter
 from bellweir.hosted.views.configuration import RouteTable
 from bellweir.hosted.views.workers import Worker, WorkersView
@@ -63,7 +63,7 @@
     """Incarnations that may have run it; they count for the route's `max_attempts`."""
     tried: set[Incarnation] = field(default_factory=set)
     sends: int = 0
-    failure: WholeAnswer | None = None
+    failure: BufferedResponse | None = None
     """The newest failure that a worker itself has answered."""
     may_have_run: bool = False
     cause: str = "no_worker"
@@ -105,7 +105,7 @@
         self._caller_watch = caller_watch
         self._metrics = metrics
         self._workers_age_s = workers_age_s
-        self._parts = WeightedParts()
+        self._parts = WeightedRoundRobin()
         self._now_s = now_s
 
     def forward(self, client: ClientRequest, table: RouteTable) -> Response:
@@ -150,7 +150,7 @@
         groups: list[list[Worker]],
         progress: Progress,
         cancellation: Cancellation,
-    ) -> WholeAnswer | None:
+    ) -> BufferedResponse | None:
         """Offer a request to workers; the answer to pass on, None where there is none."""
         while not cancellation.cancelled.is_set():
             worker = self._next_worker(client, groups, progress)
@@ -251,13 +251,13 @@
                 worker, client.call(), timeout_s, left_s * MS_PER_S, cancellation
             )
         except BaseException:
-            self._loads.released(incarnation)
+            self._loads.release(incarnation)
             progress.may_have_run = True
             raise
         seconds = self._now_s() - began_s
         is_cancelled = cancellation.cancelled.is_set()
-        is_late = seconds >= LATE_SHARE * timeout_s
-        self._note(client, worker, outcome, progress, seconds, is_late, is_cancelled)
+        is_timed_out = seconds >= LATE_SHARE * timeout_s
+        self._note(client, worker, outcome, progress, seconds, is_timed_out, is_cancelled)
         return outcome
 
     def _patience_s(
@@ -289,7 +289,7 @@
         outcome: AttemptOutcome,
         progress: Progress,
         seconds: float,
-        is_late: bool,
+        is_timed_out: bool,
         is_cancelled: bool,
     ) -> None:
         incarnation = worker.incarnation
@@ -302,7 +302,7 @@
         answer = outcome.answer
         is_answered = outcome.state is AttemptState.ANSWERED
         if is_answered and (answer is None or answer.status < SERVER_ERROR):
-            self._loads.answered(incarnation, seconds)
+            self._loads.record_success(incarnation, seconds)
             return
         failed = FailedAttempt(
             client.request_id,
@@ -311,23 +311,23 @@
             outcome.state,
             outcome.detail,
             round(1000 * seconds),
-            is_late=is_late,
+            is_timed_out=is_timed_out,
             is_cancelled=is_cancelled,
         )
-        progress.cause = failed.note(self._loads)
+        progress.cause = failed.record(self._loads)
 
     def note_begun(self, client: ClientRequest, at_s: float) -> None:
         """Count a request among its tenant's use, once, from the first run that may have begun."""
         if self._usage is not None:
-            self._usage.began(client.tenant, at_s)
+            self._usage.record_start(client.tenant, at_s)
 
     def _own_answer(
         self, client: ClientRequest, progress: Progress, groups: list[list[Worker]]
     ) -> Response:
         if not progress.may_have_run:
             after_s = self.retry_after_s(client, groups, progress.cause)
-            return own_response(503, progress.cause, after_s)
-        return own_response(504 if client.left_s() <= 0 else 502, progress.cause)
+            return gateway_response(503, progress.cause, after_s)
+        return gateway_response(504 if client.left_s() <= 0 else 502, progress.cause)
 
     def _account(
         self, client: ClientRequest, table: RouteTable, response: Response, progress: Progress
@@ -364,7 +364,7 @@
     return RETRY_AFTER_FULL_S if cause in FULL_CAUSES else RETRY_AFTER_NO_WORKER_S
 
 
-def own_response(status: int, cause: str, retry_after_s: float | None = None) -> Response:
+def gateway_response(status: int, cause: str, retry_after_s: float | None = None) -> Response:
     """An answer of this service's own."""
     headers = [("Content-Type", "application/json")]
     if retry_after_s is not None:
@@ -372,5 +372,5 @@
     return Response(status, headers, b'{"error":"%s"}' % cause.encode())
 
 
-def _passed_on(answer: WholeAnswer) -> Response:
+def _passed_on(answer: BufferedResponse) -> Response:
     return Response(answer.status, list(answer.headers), answer.body)
--- a/src/bellweir/hosted/serving/selection.py
+++ b/src/bellweir/hosted/serving/selection.py
@@ -38,10 +38,10 @@
 class Load:
     """What this process knows of one worker."""
 
-    in_hand: int = 0
+    in_flight: int = 0
     failures: int = 0
     """Failures in a row."""
-    avoided_until_s: float = 0.0
+    penalized_until_s: float = 0.0
     mean_s: float = 0.0
     """Smoothed time of its answers; 0 before the first."""
 
@@ -99,62 +99,62 @@
             if pace_of is None:
                 candidates = self._soon(candidates, now_s)
             chosen = min(candidates, key=lambda worker: self._rank(worker, now_s, pace_of))
-            self._load(chosen.incarnation).in_hand += 1
+            self._load(chosen.incarnation).in_flight += 1
         if self._sight is not None:
             begun = self._sight.begun_again if tried else self._sight.begun
             begun(chosen.entry.service, chosen.incarnation)
         return chosen
 
-    def take(self, worker: Worker) -> None:
+    def acquire(self, worker: Worker) -> None:
         """Take a place at a given worker."""
         with self._lock:
-            self._load(worker.incarnation).in_hand += 1
+            self._load(worker.incarnation).in_flight += 1
         if self._sight is not None:
             self._sight.begun(worker.entry.service, worker.incarnation)
 
-    def in_hand(self, worker: Incarnation) -> int:
+    def in_flight(self, worker: Incarnation) -> int:
         """Requests of this process at a worker."""
         with self._lock:
-            return self._load(worker).in_hand
+            return self._load(worker).in_flight
 
-    def is_avoided(self, worker: Incarnation) -> bool:
+    def is_penalized(self, worker: Incarnation) -> bool:
         """Whether a worker refused or failed lately."""
         with self._lock:
-            return self._load(worker).avoided_until_s > time.monotonic()
+            return self._load(worker).penalized_until_s > time.monotonic()
 
-    def answered(self, worker: Incarnation, seconds: float) -> None:
+    def record_success(self, worker: Incarnation, seconds: float) -> None:
         """Release a place after a usable answer that took `seconds`."""
         with self._lock:
-            load = self._release(worker)
+            load = self._decrement(worker)
             load.failures = 0
             first = load.mean_s == 0.0
             load.mean_s = seconds if first else load.mean_s + SMOOTHING * (seconds - load.mean_s)
             self._note_own_time(seconds)
         self._tell(worker, SeenOutcome.SERVED, seconds)
 
-    def refused(self, worker: Incarnation) -> None:
+    def record_refusal(self, worker: Incarnation) -> None:
         """Release a place after a worker said that it did not run the request."""
-        self._released(worker, REFUSAL_PENALTY_S, failed=False)
+        self._release_with_penalty(worker, REFUSAL_PENALTY_S, failed=False)
         self._tell(worker, SeenOutcome.REFUSED)
 
-    def answered_failure(self, worker: Incarnation) -> None:
+    def record_error_response(self, worker: Incarnation) -> None:
         """Release a place after a worker's answer that is a failure of its own."""
-        self._released(worker, REFUSAL_PENALTY_S, failed=False)
+        self._release_with_penalty(worker, REFUSAL_PENALTY_S, failed=False)
         self._tell(worker, SeenOutcome.FAILED)
 
-    def failed(self, worker: Incarnation) -> None:
+    def record_failure(self, worker: Incarnation) -> None:
         """Release a place after no usable answer."""
-        self._released(worker, FAILURE_PENALTY_S, failed=True)
+        self._release_with_penalty(worker, FAILURE_PENALTY_S, failed=True)
         self._tell(worker, SeenOutcome.FAILED)
 
-    def late(self, worker: Incarnation, seconds: float) -> None:
+    def record_timeout(self, worker: Incarnation, seconds: float) -> None:
         """Release a place after a try that was given up since it took `seconds` or more."""
-        self._released(worker, FAILURE_PENALTY_S, failed=True)
+        self._release_with_penalty(worker, FAILURE_PENALTY_S, failed=True)
         with self._lock:
             self._note_own_time(seconds)
         self._tell(worker, SeenOutcome.LATE, seconds)
 
-    def released(
+    def release(
         self,
         worker: Incarnation,
         outcome: SeenOutcome = SeenOutcome.UNKNOWN,
@@ -162,7 +162,7 @@
     ) -> None:
         """Release a place without a verdict on the worker here; others are told the outcome."""
         with self._lock:
-            self._release(worker)
+            self._decrement(worker)
         self._tell(worker, outcome, seconds)
 
     def own_usual_s(self) -> float:
@@ -192,20 +192,20 @@
             gone = [
                 one
                 for one, load in self._loads.items()
-                if one not in incarnations and load.in_hand <= 0
+                if one not in incarnations and load.in_flight <= 0
             ]
             for one in gone:
                 del self._loads[one]
 
-    def _released(self, worker: Incarnation, penalty_s: float, *, failed: bool) -> None:
+    def _release_with_penalty(self, worker: Incarnation, penalty_s: float, *, failed: bool) -> None:
         with self._lock:
-            load = self._release(worker)
+            load = self._decrement(worker)
             if failed:
                 penalty_s = min(
                     LONGEST_PENALTY_S, penalty_s * 2 ** min(load.failures, MOST_DOUBLINGS)
                 )
                 load.failures += 1
-            load.avoided_until_s = time.monotonic() + penalty_s
+            load.penalized_until_s = time.monotonic() + penalty_s
 
     def _tell(self, worker: Incarnation, outcome: SeenOutcome, seconds: float = 0.0) -> None:
         if self._sight is not None:
@@ -215,9 +215,9 @@
         before_s = self._own_usual_s
         self._own_usual_s = seconds if not before_s else before_s + SMOOTHING * (seconds - before_s)
 
-    def _release(self, worker: Incarnation) -> Load:
+    def _decrement(self, worker: Incarnation) -> Load:
         load = self._load(worker)
-        load.in_hand = max(0, load.in_hand - 1)
+        load.in_flight = max(0, load.in_flight - 1)
         return load
 
     def _load(self, worker: Incarnation) -> Load:
@@ -227,16 +227,16 @@
         self, worker: Worker, now_s: float, pace_of: Callable[[Incarnation], float] | None
     ) -> tuple[bool, float, bool, bool, float]:
         load = self._load(worker.incarnation)
-        avoided = load.avoided_until_s > now_s
-        in_hand, usual_s, slots = self._load_of_all(worker, load)
-        share = (in_hand + 1) / max(1, slots)
+        is_penalized = load.penalized_until_s > now_s
+        in_flight, usual_s, slots = self._load_of_all(worker, load)
+        share = (in_flight + 1) / max(1, slots)
         if pace_of is not None:
             pace_s = pace_of(worker.incarnation) * (1 + CROWDING * share)
-            return avoided, round(pace_s, 4), False, False, random.random()
+            return is_penalized, round(pace_s, 4), False, False, random.random()
         expected_s = share * max(usual_s, 0.001)
         other_zone = worker.entry.zone != self._own_zone
         must_connect = not self._has_connection(worker.address)
-        return avoided, round(expected_s, 2), must_connect, other_zone, random.random()
+        return is_penalized, round(expected_s, 2), must_connect, other_zone, random.random()
 
     def _soon(self, workers: list[Worker], now_s: float) -> list[Worker]:
         """The workers whose answers are expected about as soon as the soonest one's.
@@ -248,7 +248,7 @@
         by_load = self._choices_made % CHOICES_BY_TIME == 0
         if self._sight is None or not self._chooses_by_all or by_load:
             return workers
-        well = [one for one in workers if self._load(one.incarnation).avoided_until_s <= now_s]
+        well = [one for one in workers if self._load(one.incarnation).penalized_until_s <= now_s]
         if any(self._sight.seen(one.incarnation).age_s == float("inf") for one in well):
             # Nothing says when one of them answers: it would get all requests, or none.
             return workers
@@ -258,25 +258,25 @@
 
     def _answer_s(self, worker: Worker) -> float:
         """Time to a worker's answer, as all gateways tell."""
-        in_hand, usual_s, slots = self._load_of_all(worker, self._load(worker.incarnation))
-        return usual_s * max(1.0, (in_hand + 1) / max(1, slots))
+        in_flight, usual_s, slots = self._load_of_all(worker, self._load(worker.incarnation))
+        return usual_s * max(1.0, (in_flight + 1) / max(1, slots))
 
     def _load_of_all(self, worker: Worker, load: Load) -> tuple[float, float, int]:
         """Requests at a worker, its usual time and its slots, as all gateways and itself tell."""
-        in_hand, usual_s, slots = float(load.in_hand), load.mean_s, worker.entry.slots
+        in_flight, usual_s, slots = float(load.in_flight), load.mean_s, worker.entry.slots
         if self._sight is None:
-            return in_hand, usual_s, slots
+            return in_flight, usual_s, slots
         seen = self._sight.seen(worker.incarnation)
         if self._chooses_by_all and seen.age_s != float("inf"):
-            in_hand = max(in_hand, seen.in_hand)
+            in_flight = max(in_flight, seen.in_hand)
             usual_s = seen.usual_s or usual_s
         if seen.load is not None:
             half_s = max(SHORTEST_HALF_S, usual_s)
             told = seen.load.requests * float(0.5 ** (seen.load_age_s / half_s))
-            in_hand = max(in_hand, told)
+            in_flight = max(in_flight, told)
             usual_s *= seen.load.slowness(seen.load_age_s)
             slots = seen.load.slots or slots
-        return in_hand, usual_s, slots
+        return in_flight, usual_s, slots
 
 
 def _admitted(
@@ -316,7 +316,7 @@
 """Services of a route with their weights."""
 
 
-class WeightedParts:
+class WeightedRoundRobin:
     """Shares requests of a route among its services by weight, evenly over short times.
 
     Smooth weighted round robin: each service's credit grows by its weight with each request, and
--- a/src/bellweir/hosted/serving/service.py
+++ b/src/bellweir/hosted/serving/service.py
@@ -52,7 +52,7 @@
 IDLE_MARGIN_S = 1.0
 
 
-def longest_key_age_s(tenants: TenantSettings) -> float:
+def maximum_key_age_s(tenants: TenantSettings) -> float:
     """Age of the configuration up to which the keys that it has are accepted."""
     return tenants.revoke_ms / 1000 if tenants.strict_revoke else float("inf")
 
@@ -119,7 +119,7 @@
             "Connections of clients with a request in hand.",
             lambda: float(self._requests.busy_connections() if self._requests else 0),
         )
-        self._room = ObservedRoom(self._loads.in_hand, self._loads.mean_s, sight)
+        self._room = ObservedRoom(self._loads.in_flight, self._loads.mean_s, sight)
         gate = RequestGate(
             self._room,
             self._settings.room,
@@ -179,7 +179,7 @@
                     "Requests without a key that the configuration in force has, by verdict.",
                     "verdict",
                 ),
-                longest_key_age_s(self._settings.tenants),
+                maximum_key_age_s(self._settings.tenants),
             ),
             sends_urgency=self._settings.room.send_urgency,
         )
--- a/src/bellweir/hosted/serving/streams.py
+++ b/src/bellweir/hosted/serving/streams.py
@@ -22,13 +22,13 @@
 )
 from bellweir.hosted.serving.attempt import (
     AttemptState,
+    BufferedResponse,
     Cancellation,
     OpenedAttempt,
-    WholeAnswer,
     WorkerCall,
     WorkerConnections,
-    passed_on,
-    read_whole,
+    read_response,
+    response_headers,
 )
 from bellweir.hosted.serving.client_request import MS_PER_S, ClientRequest
 from bellweir.hosted.serving.failed_attempt import FailedAttempt
@@ -36,7 +36,7 @@
     MAXIMUM_SENDS,
     Forwarder,
     fixed_retry_after_s,
-    own_response,
+    gateway_response,
 )
 from bellweir.hosted.serving.selection import WorkerLoads
 from bellweir.hosted.sight.interface import SeenOutcome
@@ -105,15 +105,15 @@
             self._caller_watch.end(watched)
             raise
         if isinstance(found, OpenAnswer):
-            headers = passed_on(found)
+            headers = response_headers(found)
             chunks = self._events(stream, found, lambda: self._caller_watch.end(watched))
             return Response(found.status, headers, chunks=chunks, is_stream=True)
         self._caller_watch.end(watched)
         return self._end_without_stream(stream, found)
 
-    def _open(self, stream: _Stream) -> OpenAnswer | WholeAnswer | None:
+    def _open(self, stream: _Stream) -> OpenAnswer | BufferedResponse | None:
         """Open the stream at a worker; a worker's own failure; or None."""
-        failure: WholeAnswer | None = None
+        failure: BufferedResponse | None = None
         while (worker := self._next_worker(stream)) is not None:
             stream.tried.add(worker.incarnation)
             stream.sends += 1
@@ -137,11 +137,11 @@
 
     def _note_failure(
         self, stream: _Stream, worker: Worker, began: OpenedAttempt
-    ) -> WholeAnswer | None:
+    ) -> BufferedResponse | None:
         state = began.state
         answer = None
         if began.opened is not None:
-            answer = read_whole(began.opened, began).answer
+            answer = read_response(began.opened, began).answer
         failed = FailedAttempt(
             stream.client.request_id,
             stream.sends,
@@ -151,7 +151,7 @@
             round(1000 * (stream.client.route.timeout_ms / 1000 - stream.client.left_s())),
             is_cancelled=stream.cancellation.cancelled.is_set(),
         )
-        stream.cause = failed.note(self._loads)
+        stream.cause = failed.record(self._loads)
         return answer if state is AttemptState.ANSWERED else None
 
     def _next_worker(self, stream: _Stream) -> Worker | None:
@@ -173,7 +173,7 @@
         self, stream: _Stream, opened: OpenAnswer, ended: Callable[[], None]
     ) -> Iterator[bytes]:
         try:
-            current: OpenAnswer | WholeAnswer | None = opened
+            current: OpenAnswer | BufferedResponse | None = opened
             while isinstance(current, OpenAnswer):
                 whole = yield from self._pass_on(stream, current)
                 if whole:
@@ -220,11 +220,11 @@
         if worker is None:
             return
         if whole:
-            self._loads.released(worker.incarnation, SeenOutcome.SERVED, stream.head_s)
+            self._loads.release(worker.incarnation, SeenOutcome.SERVED, stream.head_s)
         elif stream.cancellation.cancelled.is_set():
-            self._loads.released(worker.incarnation)
+            self._loads.release(worker.incarnation)
         else:
-            self._loads.failed(worker.incarnation)
+            self._loads.record_failure(worker.incarnation)
 
     def _log_resumption(self, stream: _Stream, current: object) -> None:
         if isinstance(current, OpenAnswer) and stream.worker is not None:
@@ -235,8 +235,8 @@
                 after_event=stream.last_event_id,
             )
 
-    def _end_without_stream(self, stream: _Stream, found: WholeAnswer | None) -> Response:
-        if isinstance(found, WholeAnswer):
+    def _end_without_stream(self, stream: _Stream, found: BufferedResponse | None) -> Response:
+        if isinstance(found, BufferedResponse):
             self._account(stream, found.status)
             return Response(found.status, list(found.headers), found.body)
         client = stream.client
@@ -254,9 +254,9 @@
             ms=0,
         )
         if status == 502:
-            return own_response(502, stream.cause)
+            return gateway_response(502, stream.cause)
         # The time to a stream's head, all that is known, says nothing of when its place is free.
-        return own_response(503, stream.cause, fixed_retry_after_s(stream.cause))
+        return gateway_response(503, stream.cause, fixed_retry_after_s(stream.cause))
 
     def _account(self, stream: _Stream, status: int) -> None:
         emit(
--- a/src/bellweir/hosted/tenants/admission.py
+++ b/src/bellweir/hosted/tenants/admission.py
@@ -26,16 +26,16 @@
         self,
         configuration_age_s: Callable[[], float] = lambda: 0.0,
         count: Callable[[str], None] = lambda _verdict: None,
-        longest_age_s: float = float("inf"),
+        maximum_age_s: float = float("inf"),
     ) -> None:
         """`configuration_age_s` tells since when the configuration may have changed.
 
-        A known key counts up to `longest_age_s` of it.
+        A known key counts up to `maximum_age_s` of it.
         `count` is called with the verdict on each request that is not allowed.
         """
         self._configuration_age_s = configuration_age_s
         self._count = count
-        self._longest_age_s = longest_age_s
+        self._maximum_age_s = maximum_age_s
 
     def check(
         self, table: RouteTable, authorization: str | None, *, is_public: bool, request_id: str
@@ -49,7 +49,7 @@
         if is_public:
             return Admission(Verdict.ALLOWED, tenant)
         age_s = self._configuration_age_s()
-        if tenant is not None and age_s < self._longest_age_s:
+        if tenant is not None and age_s < self._maximum_age_s:
             return Admission(Verdict.ALLOWED, tenant)
         is_certain = key is None or (tenant is None and age_s <= CERTAIN_S)
         verdict = Verdict.REFUSED if is_certain else Verdict.UNDECIDED
--- a/src/bellweir/hosted/usage/reporter.py
+++ b/src/bellweir/hosted/usage/reporter.py
@@ -14,7 +14,7 @@
 from bellweir.hosted.log_events import USAGE_MISSED, USAGE_REPORTED
 from bellweir.hosted.settings import UsageSettings
 from bellweir.hosted.usage.state import USAGE_KEY, SettleUsage, UsageSettled
-from bellweir.hosted.usage.true_time import TrueTime
+from bellweir.hosted.usage.wall_clock import StableWallClock
 from bellweir.hosted.weights.lease import Lease
 from bellweir.ledger.interface import Ledger
 
@@ -40,7 +40,7 @@
         platform: DutyPlatform,
         settings: UsageSettings,
         node: str,
-        true_time: TrueTime,
+        clock: StableWallClock,
         is_needed: Callable[[], bool],
         count: Callable[[str], None] = lambda _outcome: None,
     ) -> None:
@@ -54,7 +54,7 @@
         self._platform = platform
         self._settings = settings
         self._node = node
-        self._true_time = true_time
+        self._clock = clock
         self._is_needed = is_needed
         self._next: int | None = None
         """The first window that this holder has not reported; None without the lease."""
@@ -64,7 +64,7 @@
         if self._lease.may_act_for_s() <= 0 or not self._is_needed():
             self._next = None
             return
-        now_s = self._true_time.now_s()
+        now_s = self._clock.now_s()
         oldest = self._window_that_ended(now_s - self._settings.late_s + LATE_MARGIN_S) + 1
         newest = self._window_that_ended(now_s - SETTLE_SHARE * self._settings.late_s)
         if self._next is None:
@@ -77,9 +77,9 @@
                 return
             self._next = window + 1
 
-    def _window_that_ended(self, at_s: float) -> int:
+    def _window_that_ended(self, wall_time_s: float) -> int:
         """The newest window whose end is not after a moment."""
-        return int(at_s // self._settings.window_s) - 1
+        return int(wall_time_s // self._settings.window_s) - 1
 
     def _miss(self, window: int) -> None:
         emit(USAGE_MISSED, window=window)
--- a/src/bellweir/hosted/usage/sender.py
+++ b/src/bellweir/hosted/usage/sender.py
@@ -11,21 +11,21 @@
 from bellweir.hosted.settings import HostedSettings
 from bellweir.hosted.usage.counter import UsageCounter
 from bellweir.hosted.usage.state import USAGE_KEY, AddUsage, UsageAdded, UsageWindows
-from bellweir.hosted.usage.true_time import TrueTime
+from bellweir.hosted.usage.wall_clock import StableWallClock
 from bellweir.kernel import names
 from bellweir.kernel.node import Kernel
 from bellweir.kernel.service import Service
 from bellweir.ledger.interface import Ledger
 
-TELL_PERIOD_S = 0.7
+SEND_PERIOD_S = 0.7
 """Time between two tellings: what a gateway that is killed takes with it. At 14 requests a second
 over 60 gateways that is one request in six kills, below a hundredth of a window's 70."""
-TELL_TIMEOUT_S = 1.0
-LAST_TELL_TIMEOUT_S = 0.4
+SEND_TIMEOUT_S = 1.0
+FINAL_SEND_TIMEOUT_S = 0.4
 """The same at a planned stop, whose time is short."""
 
 
-class UsageTeller:
+class UsageSender:
     """Brings the counts of one process to the log, again and again until they are there."""
 
     def __init__(self, counter: UsageCounter, ledger: Ledger, source: str) -> None:
@@ -34,16 +34,16 @@
         self._ledger = ledger
         self._source = source
 
-    def tell(self, timeout_s: float) -> bool:
+    def send(self, timeout_s: float) -> bool:
         """Tell what has changed; False when it could not be told and stays to be told."""
-        windows = self._counter.take_untold()
+        windows = self._counter.take_unsent()
         if not windows:
             return True
-        told = self._ledger.submit(USAGE_KEY, AddUsage(self._source, windows), timeout_s)
-        if not isinstance(told, Success):
-            self._counter.tell_again(windows)
+        reply_result = self._ledger.submit(USAGE_KEY, AddUsage(self._source, windows), timeout_s)
+        if not isinstance(reply_result, Success):
+            self._counter.requeue(windows)
             return False
-        reply = told.unwrap()
+        reply = reply_result.unwrap()
         if isinstance(reply, UsageAdded) and reply.too_late:
             emit(USAGE_TOO_LATE, windows=list(reply.too_late))
         return True
@@ -57,27 +57,27 @@
 
     def __init__(self, kernel: Kernel, settings: HostedSettings, platform: HostingPlatform) -> None:
         self._kernel = kernel
-        self._is_told = settings.usage.address is not None
-        self.counter = UsageCounter(settings.usage.window_s, TrueTime())
+        self._is_reported = settings.usage.address is not None
+        self.counter = UsageCounter(settings.usage.window_s, StableWallClock())
         self._source = f"{settings.node.name}/{os.urandom(6).hex()}"
-        self._teller: UsageTeller | None = None
+        self._sender: UsageSender | None = None
 
     def start(self) -> None:
         """Tell of the counts from now on, where somebody reports them."""
         ledger = self._kernel.registry.find(names.LEDGER, Ledger)  # type: ignore[type-abstract]
         ledger.register(UsageWindows)
-        if self._is_told:
-            self._teller = UsageTeller(self.counter, ledger, self._source)
+        if self._is_reported:
+            self._sender = UsageSender(self.counter, ledger, self._source)
             self._kernel.executors.run_task("tell-usage", self._run)
 
     def stop(self) -> None:
         """Tell the rest; the service whose requests are counted has stopped before."""
-        teller, self._teller = self._teller, None
-        if teller is not None:
-            teller.tell(LAST_TELL_TIMEOUT_S)
+        sender, self._sender = self._sender, None
+        if sender is not None:
+            sender.send(FINAL_SEND_TIMEOUT_S)
 
     def _run(self, stopping: threading.Event) -> None:
-        while not stopping.wait(TELL_PERIOD_S):
-            teller = self._teller
-            if teller is not None:
-                teller.tell(TELL_TIMEOUT_S)
+        while not stopping.wait(SEND_PERIOD_S):
+            sender = self._sender
+            if sender is not None:
+                sender.send(SEND_TIMEOUT_S)
--- a/src/bellweir/hosted/usage/service.py
+++ b/src/bellweir/hosted/usage/service.py
@@ -7,7 +7,7 @@
 from bellweir.hosted.settings import HostedSettings
 from bellweir.hosted.usage.reporter import UsageReporter
 from bellweir.hosted.usage.state import UsageWindows
-from bellweir.hosted.usage.true_time import TrueTime
+from bellweir.hosted.usage.wall_clock import StableWallClock
 from bellweir.hosted.views.service import ViewsService
 from bellweir.hosted.weights.service import RolloutService
 from bellweir.kernel import names
@@ -44,7 +44,7 @@
             self._platform.duties_at(usage.address),
             usage,
             self._settings.node.name,
-            TrueTime(),
+            StableWallClock(),
             self._has_tenants,
             registry.find(names.TELEMETRY, MetricsService).metrics.add_counter(
                 "bellweir_usage_reports",
--- a/src/bellweir/hosted/usage/state.py
+++ b/src/bellweir/hosted/usage/state.py
@@ -55,7 +55,7 @@
 
 
 class _Saved(msgspec.Struct, frozen=True):
-    told: dict[int, dict[str, dict[str, int]]]
+    counts_by_source: dict[int, dict[str, dict[str, int]]] = msgspec.field(name="told")
     settled: dict[int, dict[str, int]]
     forgotten_up_to: int = -1
 
@@ -64,7 +64,7 @@
     """All usage of a shard."""
 
     def __init__(self) -> None:
-        self.told: dict[int, dict[str, dict[str, int]]] = {}
+        self.counts_by_source: dict[int, dict[str, dict[str, int]]] = {}
         """Counts by window, process and tenant."""
         self.settled: dict[int, dict[str, int]] = {}
         """Sums by window and tenant."""
@@ -98,7 +98,7 @@
             if self._is_settled(each.window):
                 too_late.append(each.window)
                 continue
-            counts = self.told.setdefault(each.window, {}).setdefault(source, {})
+            counts = self.counts_by_source.setdefault(each.window, {}).setdefault(source, {})
             for tenant, count in each.counts.items():
                 # Commands of one process may overtake each other; its counts only grow.
                 counts[tenant] = max(counts.get(tenant, 0), count)
@@ -112,7 +112,7 @@
             counts = self.settled.get(window)
             return UsageSettled(counts or {}, False, counts is None)
         sums: dict[str, int] = {}
-        for counts in self.told.pop(window, {}).values():
+        for counts in self.counts_by_source.pop(window, {}).values():
             for tenant, count in counts.items():
                 sums[tenant] = sums.get(tenant, 0) + count
         self.settled[window] = sums
@@ -129,7 +129,9 @@
             return
         up_to = sorted(self.settled)[-KEPT_WINDOWS - 1]
         self._forgotten_up_to = up_to
-        self.told = {window: each for window, each in self.told.items() if window > up_to}
+        self.counts_by_source = {
+            window: each for window, each in self.counts_by_source.items() if window > up_to
+        }
         self.settled = {window: each for window, each in self.settled.items() if window > up_to}
 
     def answer(self, query: Query) -> Reply:
@@ -138,13 +140,13 @@
 
     def save(self) -> bytes:
         """The whole state."""
-        saved = _Saved(self.told, self.settled, self._forgotten_up_to)
+        saved = _Saved(self.counts_by_source, self.settled, self._forgotten_up_to)
         return cbor2.dumps(msgspec.to_builtins(saved))
 
     def load(self, state: bytes) -> None:
         """Replace the state by a saved one."""
         plain: Any = cbor2.loads(state)
         saved = msgspec.convert(plain, _Saved)
-        self.told = saved.told
+        self.counts_by_source = saved.counts_by_source
         self.settled = saved.settled
         self._forgotten_up_to = saved.forgotten_up_to
--- a/src/bellweir/hosted/usage/true_time.py
+++ b/src/bellweir/hosted/usage/wall_clock.py
@@ -11,12 +11,12 @@
 
 JUMP_S = 0.25
 """Difference from which on the clock has jumped; what corrects a clock bit by bit stays below."""
-LASTING_S = 15.0
+JUMP_CONFIRMATION_S = 15.0
 """Time for which a difference must last to be taken for the truth: three times the five seconds
 after which a jumped clock has returned (the default of the platform's rehearsals)."""
 
 
-class TrueTime:
+class StableWallClock:
     """Seconds since 1970 for one process. Safe for threads."""
 
     __slots__ = ("_lock", "_monotonic_s", "_off_since_s", "_offset_s", "_wall_s")
@@ -34,9 +34,9 @@
 
     def now_s(self) -> float:
         """Return the true time now."""
-        return self.at_s(self._monotonic_s())
+        return self.wall_time_s(self._monotonic_s())
 
-    def at_s(self, monotonic_s: float) -> float:
+    def wall_time_s(self, monotonic_s: float) -> float:
         """Return the true time at a moment of the steady clock."""
         now_s = self._monotonic_s()
         offset_s = self._wall_s() - now_s
@@ -50,6 +50,6 @@
             self._off_since_s = None
         elif self._off_since_s is None:
             self._off_since_s = now_s
-        elif now_s - self._off_since_s >= LASTING_S:
+        elif now_s - self._off_since_s >= JUMP_CONFIRMATION_S:
             self._offset_s = offset_s
             self._off_since_s = None
