--- a/features/steps/hosted_entries_steps.py
+++ b/features/steps/hosted_entries_steps.py
@@ -23,7 +23,7 @@
 from bellweir.hosted.serving.metrics import RequestMetrics
 from bellweir.hosted.views.configuration import ConfigurationView
 from bellweir.hosted.views.follower import KindFollower
-from bellweir.hosted.views.kind_state import KindNews, KindState
+from bellweir.hosted.views.kind_state import KindState, KindUpdate
 from bellweir.hosted.views.workers import WorkersView
 from bellweir.hosted.weights.versions import VersionsView
 from bellweir_platform.object_store import PlatformStore
@@ -179,12 +179,14 @@
         texts = sound_texts()
         texts.insert(place, text)
         view = WorkersView()
-        view.take_listing(Listing(1, tuple(StoredRecord("servers", n, 1, entry(n)) for n in SOUND)))
+        view.apply_listing(
+            Listing(1, tuple(StoredRecord("servers", n, 1, entry(n)) for n in SOUND))
+        )
         store = CheckedStore(answering(list_body(texts)), UnreadableEntries())
         found = store.list_kind("servers")
         held["read" if isinstance(found, Success) else "failed"] += 1
         if isinstance(found, Success):
-            view.take_listing(found.unwrap())
+            view.apply_listing(found.unwrap())
         else:
             # The answer itself is broken off or torn: what was known holds.
             assert found.failure().kind is StoreErrorKind.UNKNOWN
@@ -218,10 +220,10 @@
             return
         view = WorkersView()
         good = StoredRecord("servers", BAD, 1, entry(BAD))
-        view.take_listing(Listing(1, (good,)))
+        view.apply_listing(Listing(1, (good,)))
         changes = found.unwrap()
         for change in changes.changes:
-            view.take_change(change)
+            view.apply_change(change)
         assert set(SOUND) <= known(view), text
         check_chosen(view)
         told = {change.record.name for change in changes.changes}
@@ -262,14 +264,14 @@
         plain = {"kind": "servers", "base": None if is_whole else 3, "revision": 9}
         plain |= {"records": records, "gone": [], "age_s": 0.0}
         view = WorkersView()
-        state = KindState("servers", view.take_listing, view.take_change)
-        state.take_listing(Listing(3, (StoredRecord("servers", BAD, 2, entry(BAD)),)), 0.0)
-        news = msgspec.convert(plain, KindNews)
-        assert state.take_news(news, 1.0)
+        state = KindState("servers", view.apply_listing, view.apply_change)
+        state.apply_listing(Listing(3, (StoredRecord("servers", BAD, 2, entry(BAD)),)), 0.0)
+        news = msgspec.convert(plain, KindUpdate)
+        assert state.apply_update(news, 1.0)
         assert set(SOUND) <= known(view), bad
         check_chosen(view)
         # What it tells on has none that nobody can use.
-        for record in state.news_since(None, 1.0).records:
+        for record in state.update_since(None, 1.0).records:
             assert unusable_cause(record) is None, record
 
     holds()
@@ -316,12 +318,12 @@
                 record = StoredRecord(kind, "x", 1, sound | {field: value})
                 assert unusable_cause(record), (kind, field, value)
     versions = VersionsView()
-    versions.take_listing(
+    versions.apply_listing(
         Listing(1, (StoredRecord("versions", "m", 1, {"model": "m", "version": 3}),))
     )
     for value in WRONG_FIELDS["versions"]["version"]:
         spec = {"model": "m", "version": value}
-        versions.take_change(RecordChange(StoredRecord("versions", "m", 2, spec), deleted=False))
+        versions.apply_change(RecordChange(StoredRecord("versions", "m", 2, spec), deleted=False))
     assert dict(versions.all()) == {"m": 3}
 
 
@@ -393,7 +395,7 @@
 
 def view_with(spec):
     view = ConfigurationView()
-    view.take(spec, "test")
+    view.apply(spec, "test")
     assert view.table() is not None
     return view
 
@@ -420,11 +422,11 @@
     )
     for number, spec in enumerate(unreadable, start=10):
         with capture_logs() as logs:
-            view.take_listing(Listing(number, (StoredRecord("config", "main", number, spec),)))
-            view.take_listing(Listing(number, (StoredRecord("config", "main", number, spec),)))
+            view.apply_listing(Listing(number, (StoredRecord("config", "main", number, spec),)))
+            view.apply_listing(Listing(number, (StoredRecord("config", "main", number, spec),)))
         assert view.table().version == 3, spec
         assert [line["event"] for line in logs] == ["configuration_refused"], (spec, logs)
-    view.take(configuration(4), "test")
+    view.apply(configuration(4), "test")
     assert view.table().version == 4
 
 
@@ -443,7 +445,7 @@
     for bad, service in cases:
         view = view_with(routes_of(3, *former))
         with capture_logs() as logs:
-            view.take(routes_of(4, route("/", "other"), bad), "test")
+            view.apply(routes_of(4, route("/", "other"), bad), "test")
         table = view.table()
         assert table.version == 4
         found = table.find("h.example", "/a/x")
@@ -454,10 +456,10 @@
         part = next(line for line in logs if line["event"] == "configuration_part_unreadable")
         assert part["instead"] == ("former" if service else "closed"), part
         # It stays so while it can't be read, and ends with words that can.
-        view.take(routes_of(5, route("/", "other"), bad), "test")
+        view.apply(routes_of(5, route("/", "other"), bad), "test")
         found = view.table().find("h.example", "/a/x")
         assert (found.service if found else None) == service, bad
-        view.take(routes_of(6, route("/", "other")), "test")
+        view.apply(routes_of(6, route("/", "other")), "test")
         assert view.table().find("h.example", "/a/x").service == "other"
 
 
@@ -474,7 +476,7 @@
         "limits": {"maxBodyBytes": "many"},
         "tenants": [{"name": "t", "apiKeys": "k"}, tenants[1], {"name": "v", "apiKeys": 7}],
     }
-    view.take(routes_of(4, route("/")) | bad, "test")
+    view.apply(routes_of(4, route("/")) | bad, "test")
     table = view.table()
     assert table.version == 4
     assert table.services["app"].health_path == "/up"
@@ -499,7 +501,7 @@
         around = (route("/", "other"), route("/b/", "side"))
         former = (*around, route("/a/")) if is_known else around
         view = view_with(routes_of(3, *former))
-        view.take(routes_of(4, *around, route("/a/") | {field: value}), "test")
+        view.apply(routes_of(4, *around, route("/a/") | {field: value}), "test")
         table = view.table()
         assert table.version == 4
         assert table.find("h.example", "/b/x").service == "side"
@@ -525,7 +527,7 @@
     for each in spec["routes"]:
         if each["pathPrefix"] == prefix:
             each["maxAttempts"] = "two"
-    context.gateway.view.take(spec, "test")
+    context.gateway.view.apply(spec, "test")
     assert context.gateway.view.table().version == 2
 
 
--- a/features/steps/hosted_forwarding_steps.py
+++ b/features/steps/hosted_forwarding_steps.py
@@ -298,7 +298,7 @@
         view = WorkersView()
         entry = {"service": "app", "address": "h:1", "zone": "a", "slots": 1, "state": "ready"}
         records = [StoredRecord("servers", f"i-{at}", 1, entry) for at in range(workers)]
-        view.take_listing(Listing(1, tuple(records)))
+        view.apply_listing(Listing(1, tuple(records)))
         connections = ScriptedConnections(script)
         watch = SimpleNamespace(begin=lambda *_: None, end=lambda _: None)
         loads = WorkerLoads("a")
--- a/features/steps/hosted_lease_steps.py
+++ b/features/steps/hosted_lease_steps.py
@@ -143,7 +143,7 @@
                 lease.hand_over()
             # Not at every chance, so that some leases are given back long after the last act.
             lasts_s = self.chance.uniform(0.0, ACT_S)
-            fence = lease.begin_act(ACT_S) if self.chance.random() < 0.3 else 0
+            fence = lease.begin_operation(ACT_S) if self.chance.random() < 0.3 else 0
             if fence:
                 self.acts.append((self.now_s, self.now_s + lasts_s, number, fence))
 
@@ -204,7 +204,7 @@
     machines = Machines(1, 1)
     machines.leases[0].step()
     first = machines.leases[0].fence
-    assert machines.leases[0].may_act_for_s() > 0.0
+    assert machines.leases[0].remaining_s() > 0.0
     machines.leases[0] = machines.make(0)
     machines.now_s += 0.1
     machines.leases[0].step()
@@ -220,7 +220,7 @@
     released_s = machines.now_s
     machines.leases[1].step()
     assert machines.leases[1].phase is LeasePhase.WAITING
-    while machines.leases[1].may_act_for_s() <= 0.0:
+    while machines.leases[1].remaining_s() <= 0.0:
         machines.now_s += 0.1
         machines.leases[1].step()
     waited_s = machines.now_s - released_s
@@ -279,7 +279,7 @@
         machines.store.down = False
         machines.store.late = []
         until(back_s + 1.0)
-        acting = [lease.may_act_for_s() > 0.0 for lease in machines.leases[1:]]
+        acting = [lease.remaining_s() > 0.0 for lease in machines.leases[1:]]
         assert acting.count(True) == 1, (seed, acting)
 
 
@@ -288,17 +288,17 @@
     machines = Machines(2, 1)
     first, second = machines.leases
     first.step()
-    assert first.begin_act(0.0)
+    assert first.begin_operation(0.0)
     for idle_s, waits in ((1.0, True), (4.0, False)):
         machines.now_s += idle_s
         first.step_aside(60.0)
         first.step()
         assert not first.is_held
         second.step()
-        assert (second.may_act_for_s() <= 0.0) == waits, idle_s
+        assert (second.remaining_s() <= 0.0) == waits, idle_s
         machines.now_s += SEPARATION_S
         second.step()
-        assert second.begin_act(0.0)
+        assert second.begin_operation(0.0)
         first.step()
         assert not first.is_held, "one that stands aside took the lease"
         first, second = second, machines.make(0)
@@ -313,14 +313,14 @@
         machines.chance.choice = lambda options: options[0]
         holder, *others = machines.leases
         holder.step()
-        assert holder.begin_act(0.0)
+        assert holder.begin_operation(0.0)
         machines.now_s += 2.0
         machines.hear()
         given_up_s = machines.now_s
         if hands_over:
             holder.hand_over()
-            assert not holder.begin_act(0.0)
-        while not any(one.begin_act(0.0) for one in others):
+            assert not holder.begin_operation(0.0)
+        while not any(one.begin_operation(0.0) for one in others):
             machines.now_s += 0.05
             machines.hear()
             for lease in others:
@@ -349,7 +349,7 @@
     holder.step()
     store.replace = write
     assert not holder.is_held
-    assert not holder.begin_act(0.0)
+    assert not holder.begin_operation(0.0)
 
 
 @then("a hand-over that arrives after the lease was taken again changes nothing")
@@ -361,7 +361,7 @@
     holder.hand_over()
     machines.leases[0] = machines.make(0)
     machines.leases[0].step()
-    assert machines.leases[0].begin_act(0.0)
+    assert machines.leases[0].begin_operation(0.0)
     other.hear_hand_over(revision, 60.0)
     machines.now_s += 1.0
     other.step()
@@ -444,7 +444,7 @@
     go_on(1.5, others)
     machines.store.is_next_late = True
     go_on(0.1, [holder, *others])
-    assert holder.begin_act(ACT_S), "the holder lost its lease"
+    assert holder.begin_operation(ACT_S), "the holder lost its lease"
     acted_until_s = machines.now_s + ACT_S
     go_on(0.6, others)
     if moment == "before the hand-over":
@@ -466,7 +466,7 @@
         go_on(0.05, others)
         assert machines.now_s < handed_s + 30.0, "nobody takes it"
     taken_s = machines.now_s - handed_s
-    while not any(lease.begin_act(ACT_S) for lease in others):
+    while not any(lease.begin_operation(ACT_S) for lease in others):
         go_on(0.05, others)
     return taken_s, machines.now_s - acted_until_s
 
@@ -484,8 +484,8 @@
     holder, *others = machines.leases
     end_s = machines.now_s + 30.0
     acted_until_s = None
-    while not any(lease.begin_act(ACT_S) for lease in others):
-        if holder.begin_act(ACT_S):
+    while not any(lease.begin_operation(ACT_S) for lease in others):
+        if holder.begin_operation(ACT_S):
             acted_until_s = machines.now_s + ACT_S
         machines.now_s += 0.05
         for lease in others:
@@ -559,10 +559,10 @@
     holder.step()
     assert holder.fence == fence, "the lease was lost"
     machines.now_s += 0.1
-    assert holder.begin_act(ACT_S), "the holder may not act"
+    assert holder.begin_operation(ACT_S), "the holder may not act"
     machines.now_s += 1.6
     holder.step()
-    assert holder.begin_act(ACT_S), "the next renewal was not done"
+    assert holder.begin_operation(ACT_S), "the next renewal was not done"
 
 
 # Symptom: a lease that a node had taken had no acting holder for 2 s and more.
@@ -614,7 +614,7 @@
             machines.chance.choice = lambda options: options[1]
             first, second, third = machines.leases
             first.step()
-            assert first.begin_act(ACT_S)
+            assert first.begin_operation(ACT_S)
             acted_until_s = machines.now_s + ACT_S
             first.release()
             machines.now_s += 0.05
@@ -625,7 +625,7 @@
                 second.hand_over()
             else:
                 second.release()
-            while not third.begin_act(ACT_S):
+            while not third.begin_operation(ACT_S):
                 machines.now_s += 0.05
                 machines.hear()
                 third.step()
--- a/features/steps/hosted_plan_steps.py
+++ b/features/steps/hosted_plan_steps.py
@@ -15,7 +15,7 @@
 from bellweir.hosted.views.configuration import ConfigurationView
 from bellweir.hosted.views.workers import Worker, WorkersView
 from bellweir.hosted.weights.controller import RolloutController
-from bellweir.hosted.weights.job_news import JobNews, JobsHeard, JobTeller, NewestJob
+from bellweir.hosted.weights.job_messages import JobNews, JobsHeard, JobTeller, NewestJob
 from bellweir.hosted.weights.lags import VersionLags
 from bellweir.hosted.weights.load_limit import FEWEST_AT_ONCE, LoadLimit
 from bellweir.hosted.weights.plan import ModelTarget, plan_loads, workers_wanted
@@ -221,10 +221,10 @@
     def __init__(self, fence):
         self.fence = fence
 
-    def may_act_for_s(self):
+    def remaining_s(self):
         return 10.0 if self.fence else 0.0
 
-    def begin_act(self, seconds):
+    def begin_operation(self, seconds):
         return self.fence
 
 
@@ -236,7 +236,7 @@
     context.versions = VersionsView()
     configuration = ConfigurationView()
     engine = {"slots": 8, "models": [{"name": MODEL}]}
-    configuration.take(
+    configuration.apply(
         {"version": 1, "routes": [], "services": [{"name": "llm", "engine": engine}]}, "test"
     )
     context.jobs = []
@@ -255,7 +255,7 @@
         StoredRecord("servers", worker.instance, 1, worker.entry("llm"))
         for worker in context.workers
     )
-    view.take_listing(Listing(1, records))
+    view.apply_listing(Listing(1, records))
 
 
 def note_told(context, worker, model, for_s):
@@ -312,7 +312,7 @@
 
 
 def name(context, version):
-    context.versions.take_listing(
+    context.versions.apply_listing(
         Listing(
             1, (StoredRecord("versions", MODEL, version, {"model": MODEL, "version": version}),)
         )
--- a/features/steps/hosted_relay_steps.py
+++ b/features/steps/hosted_relay_steps.py
@@ -89,18 +89,18 @@
             how = data.draw(st.sampled_from(("list", "watch", "late", "told", "told")))
             if how == "list":
                 seen = data.draw(st.integers(0, now))
-                state.take_listing(history.listing(seen), float(step))
+                state.apply_listing(history.listing(seen), float(step))
             elif how == "watch" and state.revision is not None and state.revision <= now:
-                state.take_changes(history.changes_after(state.revision, now), float(step))
+                state.apply_changes(history.changes_after(state.revision, now), float(step))
             elif how == "late" and state.revision is not None:
                 # A watch that began before the state was told of some of its changes.
                 since = data.draw(st.integers(0, state.revision))
-                state.take_changes(history.changes_after(since, now), float(step))
+                state.apply_changes(history.changes_after(since, now), float(step))
             elif how == "told":
                 # What the teller believes of the listener may be out of date, either way.
                 believed = data.draw(st.sampled_from((state.revision, None, 0, now)))
-                news = other.state.news_since(believed, float(step))
-                taken = news is None or state.take_news(news, float(step))
+                news = other.state.update_since(believed, float(step))
+                taken = news is None or state.apply_update(news, float(step))
                 assert taken or state.revision is None or news.base > state.revision
             for each in followers:
                 if each.state.revision is not None:
--- a/features/steps/hosted_room_gateway_steps.py
+++ b/features/steps/hosted_room_gateway_steps.py
@@ -105,7 +105,7 @@
     spec["routes"][0]["public"] = True
     if service == "engines":
         spec["services"][0]["engine"] = {"slots": 8}
-    context.gateway.view.take(spec, "test")
+    context.gateway.view.apply(spec, "test")
 
 
 @when("a client sends a request that must be answered within 300 ms")
--- a/features/steps/hosted_scaling_steps.py
+++ b/features/steps/hosted_scaling_steps.py
@@ -26,10 +26,10 @@
     def __init__(self, fence):
         self.fence = fence
 
-    def may_act_for_s(self):
+    def remaining_s(self):
         return 1.0 if self.fence else 0.0
 
-    def begin_act(self, seconds):
+    def begin_operation(self, seconds):
         return self.fence
 
 
@@ -49,7 +49,7 @@
         self.workers, self.view = WorkersView(lambda: self.now_s), ConfigurationView()
         scale = {"min": MINIMUM, "max": MAXIMUM, "bootS": BOOT_S, "zonePrices": PRICES}
         services = [{"name": "llm", "autoscale": scale}, {"name": "app"}]
-        self.view.take({"version": 1, "services": services}, "test")
+        self.view.apply({"version": 1, "services": services}, "test")
         self.leases = [Lease(1 if at == 0 else 0) for at in range(holders)]
         self.controllers = [
             ScalingController(
@@ -92,7 +92,7 @@
             for _ in range(count)
         ]
         records = (StoredRecord("servers", f"i-{at}", 1, one) for at, one in enumerate(entries))
-        self.workers.take_listing(Listing(1, tuple(records)))
+        self.workers.apply_listing(Listing(1, tuple(records)))
 
 
 @given_step("a service with {each:d} workers in each of 2 zones, at rest")
--- a/features/steps/hosted_starts_steps.py
+++ b/features/steps/hosted_starts_steps.py
@@ -46,7 +46,7 @@
 
     def __init__(self):
         self.workers = WorkersView()
-        self.state = KindState("servers", self.workers.take_listing, self.workers.take_change)
+        self.state = KindState("servers", self.workers.apply_listing, self.workers.apply_change)
         self.shown = {name: [] for name in NAMES}
 
     def look(self):
@@ -89,16 +89,16 @@
         elif what == "lapse":
             world.lapse(name)
         elif what == "list":
-            process.state.take_listing(world.listing(number), 0.0)
+            process.state.apply_listing(world.listing(number), 0.0)
         elif what == "watch":
-            process.state.take_changes(world.changes(process.state.revision, number), 0.0)
+            process.state.apply_changes(world.changes(process.state.revision, number), 0.0)
         elif what == "peer":
-            self.peer.state.take_listing(world.listing(number), 0.0)
-            news = self.peer.state.news_since(process.state.revision, 0.0)
-            process.state.take_news(news, 0.0)
+            self.peer.state.apply_listing(world.listing(number), 0.0)
+            news = self.peer.state.update_since(process.state.revision, 0.0)
+            process.state.apply_update(news, 0.0)
         elif what == "copy":
             copied = {record.name: record.spec for record in world.listing(number).records}
-            process.workers.take_peer_copy(copied)
+            process.workers.apply_peer_copy(copied)
 
     def _write_late(self, name, number):
         """A start that has ended writes once: it had one write under way."""
@@ -138,8 +138,8 @@
         for _ in range(2):
             for name in NAMES:
                 world.write(name)
-            process.state.take_changes(world.changes(process.state.revision, 0), 0.0)
-            process.state.take_listing(world.listing(0), 0.0)
+            process.state.apply_changes(world.changes(process.state.revision, 0), 0.0)
+            process.state.apply_listing(world.listing(0), 0.0)
         for name in NAMES:
             shown = process.workers.worker(name).incarnation
             assert shown == world.workers[name].incarnation, (steps, shown)
@@ -150,13 +150,13 @@
 def read(context, born_ms):
     context.revision += 1
     record = StoredRecord("servers", "i-1", context.revision, entry_of("i-1", born_ms))
-    context.view.take_change(RecordChange(record, deleted=False))
+    context.view.apply_change(RecordChange(record, deleted=False))
 
 
 @given_step('a view that knows worker "i-1" as started at {born_ms:d}')
 def given_view(context, born_ms):
     context.view, context.revision = WorkersView(), 0
-    context.view.take_listing(Listing(0, ()))
+    context.view.apply_listing(Listing(0, ()))
     read(context, born_ms)
 
 
@@ -168,7 +168,7 @@
 
 @when("a peer that is behind tells of it as started at {born_ms:d}")
 def when_told(context, born_ms):
-    context.view.take_peer_copy({"i-1": entry_of("i-1", born_ms)})
+    context.view.apply_peer_copy({"i-1": entry_of("i-1", born_ms)})
 
 
 @when("it is read at a higher revision as started at {born_ms:d}")
@@ -180,7 +180,7 @@
 def when_lapses(context):
     context.revision += 1
     record = StoredRecord("servers", "i-1", context.revision, None)
-    context.view.take_change(RecordChange(record, deleted=True))
+    context.view.apply_change(RecordChange(record, deleted=True))
     assert context.view.worker("i-1") is None
 
 
@@ -191,7 +191,7 @@
 
 @then("it counts {count:d} starts beyond the first")
 def then_counted(context, count):
-    assert context.view.started_again == count
+    assert context.view.restart_count == count
 
 
 class Amid:
@@ -215,22 +215,22 @@
     now = [0.0]
     view = WorkersView(now_s=lambda: now[0])
     gone = StoredRecord("servers", "i-1", 1, entry_of("i-1", 5_000))
-    view.take_listing(Listing(1, (gone,)))
+    view.apply_listing(Listing(1, (gone,)))
     view.keep_lapsed_until(2.0)
-    view.take_change(RecordChange(gone, deleted=True))
+    view.apply_change(RecordChange(gone, deleted=True))
     now[0] = 3.0
     came = StoredRecord("servers", "i-2", 3, entry_of("i-2", 5_000))
-    view._lock = Amid(view._lock, lambda: view.take_change(RecordChange(came, deleted=False)))
+    view._lock = Amid(view._lock, lambda: view.apply_change(RecordChange(came, deleted=False)))
     view.drop_overdue()
     assert [worker.instance for worker in view.all()] == ["i-2"]
     assert set(view.specs()) == {"i-2"}
 
 
 class FixedLease:
-    def may_act_for_s(self):
+    def remaining_s(self):
         return 10.0
 
-    def begin_act(self, seconds):
+    def begin_operation(self, seconds):
         return 17
 
 
@@ -244,7 +244,7 @@
         configuration = ConfigurationView()
         engine = {"slots": 8, "models": [{"name": MODEL}]}
         services = [{"name": "llm", "engine": engine}]
-        configuration.take({"version": 1, "routes": [], "services": services}, "test")
+        configuration.apply({"version": 1, "routes": [], "services": services}, "test")
         self.controller = RolloutController(
             FixedLease(),
             self.versions,
@@ -258,11 +258,11 @@
         self.read(0)
 
     def read(self, behind):
-        self.process.state.take_listing(self.world.listing(behind), 0.0)
+        self.process.state.apply_listing(self.world.listing(behind), 0.0)
 
     def name(self, version):
         record = StoredRecord("versions", MODEL, version, {"model": MODEL, "version": version})
-        self.versions.take_listing(Listing(version, (record,)))
+        self.versions.apply_listing(Listing(version, (record,)))
 
     def step(self):
         self.now_s += STEP_S
@@ -455,9 +455,9 @@
     versions, configuration = VersionsView(), ConfigurationView()
     engine = {"slots": 8, "models": [{"name": MODEL}]}
     services = [{"name": "app", "engine": engine}]
-    configuration.take({"version": 1, "routes": [], "services": services}, "test")
+    configuration.apply({"version": 1, "routes": [], "services": services}, "test")
     record = StoredRecord("versions", MODEL, 2, {"model": MODEL, "version": 2})
-    versions.take_listing(Listing(2, (record,)))
+    versions.apply_listing(Listing(2, (record,)))
     context.controller = RolloutController(
         FixedLease(),
         versions,
@@ -552,7 +552,7 @@
     """The worker for a request that may have run at a former start of the only worker."""
     workers, loads = WorkersView(), WorkerLoads("a")
     record = StoredRecord("servers", "i-1", 2, entry_of("i-1", 9_000))
-    workers.take_listing(Listing(2, (record,)))
+    workers.apply_listing(Listing(2, (record,)))
     watch = SimpleNamespace(begin=lambda *_: None, end=lambda _: None)
     forwarder = Forwarder(workers, loads, None, watch, RequestMetrics())
     route = Route(host="h", path_prefix="/", kind=kind, service="llm", max_attempts=max_attempts)
--- a/features/steps/hosted_steps_steps.py
+++ b/features/steps/hosted_steps_steps.py
@@ -291,7 +291,7 @@
     spec["version"] = 2
     spec["services"][0]["engine"] = {"slots": 8, "kvCapacity": tokens}
     coordinator = context.leader.coordinator
-    coordinator._configuration.take(spec, "test")
+    coordinator._configuration.apply(spec, "test")
     submit, context.most_at_once = context.leader.ledger.submit, 0
 
     def with_tokens(key, command, timeout_s):
--- a/features/steps/hosted_tenants_steps.py
+++ b/features/steps/hosted_tenants_steps.py
@@ -69,7 +69,7 @@
 def take(context, keys):
     context.version += 1
     spec = configuration(context.version, tuple(keys.items()), PUBLIC)
-    context.gateway.view.take(spec, "test")
+    context.gateway.view.apply(spec, "test")
 
 
 @given_step("a configuration without tenants is in force")
@@ -182,7 +182,7 @@
         for version, owners in arrivals:
             # A tenant without keys is there in each, so that keys are always required.
             keys = {"z": (), **{name: [k for k in owners if owners[k] == name] for name in "xy"}}
-            view.take(configuration(version, tuple(keys.items())), "test")
+            view.apply(configuration(version, tuple(keys.items())), "test")
             heard = max(heard, version)
             for key in "abcd":
                 found = check.check(view.table(), f"Bearer {key}", is_public=False, request_id="r")
--- a/features/steps/hosted_usage_steps.py
+++ b/features/steps/hosted_usage_steps.py
@@ -55,10 +55,10 @@
     def __init__(self, fence=1):
         self.fence = fence
 
-    def may_act_for_s(self):
+    def remaining_s(self):
         return 1.0 if self.fence else 0.0
 
-    def begin_act(self, seconds):
+    def begin_operation(self, seconds):
         return self.fence
 
 
@@ -90,7 +90,7 @@
     context.cleanup.callback(context.gateway.close)
     for worker in context.workers.values():
         context.cleanup.callback(worker.close)
-    context.gateway.view.take(configuration(2, (("dealers", ("k",)),), ("/short/",)), "test")
+    context.gateway.view.apply(configuration(2, (("dealers", ("k",)),), ("/short/",)), "test")
 
 
 @then(
--- a/features/steps/hosted_views_steps.py
+++ b/features/steps/hosted_views_steps.py
@@ -43,12 +43,12 @@
     store = PlatformStore(context.store.address)
     view, workers = ConfigurationView(), WorkersView()
     followers = [
-        KindFollower(store, RecordKind.CONFIGURATION, view.take_listing, view.take_change),
+        KindFollower(store, RecordKind.CONFIGURATION, view.apply_listing, view.apply_change),
         KindFollower(
             store,
             RecordKind.WORKERS,
-            workers.take_listing,
-            workers.take_change,
+            workers.apply_listing,
+            workers.apply_change,
             on_return=workers.keep_lapsed_until,
         ),
     ]
@@ -238,11 +238,11 @@
         for how, version in tellings:
             record = StoredRecord("config", "main", version, configuration(version))
             if how == "list":
-                view.take_listing(Listing(version, (record,)))
+                view.apply_listing(Listing(version, (record,)))
             elif how == "peer":
-                view.take(configuration(version), "peer")
+                view.apply(configuration(version), "peer")
             else:
-                view.take_change(RecordChange(record, deleted=how == "delete"))
+                view.apply_change(RecordChange(record, deleted=how == "delete"))
             if how != "delete":
                 highest = max(highest, version)
             table = view.table()
@@ -263,7 +263,7 @@
     assert view.table().version == 3
     assert [worker.instance for worker in workers.ready("app")] == ["i-1"]
     # The store's own listing counts from then on.
-    workers.take_listing(Listing(9, ()))
+    workers.apply_listing(Listing(9, ()))
     assert copy_views(transport, "peer:1", view, workers, 1.0)
     assert workers.ready("app") == []
     nothing = SimpleNamespace(request=lambda *_: Success(ViewsAnswer(None, {})))
@@ -324,7 +324,7 @@
         now = [0.0]
         view = WorkersView(now_s=lambda: now[0])
         listed, kept, grace_until = {}, {}, 0.0
-        view.take_listing(Listing(0, ()))
+        view.apply_listing(Listing(0, ()))
         for number, (what, name) in enumerate(steps, start=1):
             record = StoredRecord("servers", name, number, entry(name))
             if what == "wait":
@@ -336,12 +336,12 @@
                 is_kept = listed.pop(name) == "ready" and now[0] < grace_until
                 if is_kept:
                     kept[name] = grace_until
-                view.take_change(RecordChange(record, deleted=True))
+                view.apply_change(RecordChange(record, deleted=True))
             elif what in ("back", "drain"):
                 listed[name] = "ready" if what == "back" else "draining"
                 kept.pop(name, None)
                 spec = entry(name, listed[name])
-                view.take_change(
+                view.apply_change(
                     RecordChange(StoredRecord("servers", name, number, spec), deleted=False)
                 )
             expected = {one for one, state in listed.items() if state == "ready"}
--- a/features/support/hosted_gateway.py
+++ b/features/support/hosted_gateway.py
@@ -78,13 +78,13 @@
     def __init__(self, workers, sight=None, room_settings=None):
         self.executors = Executors()
         self.view, self.workers = ConfigurationView(), WorkersView()
-        self.view.take(configuration(), "test")
+        self.view.apply(configuration(), "test")
         self.show_workers({worker.instance: worker.entry("app") for worker in workers})
         self.loads = WorkerLoads("a", sight=sight)
         connections = self._connections = (
             WorkerConnections(HEADERS, sight.load_told) if sight else WorkerConnections(HEADERS)
         )
-        self.workers.subscribe_addresses(connections.renew)
+        self.workers.subscribe_address_changes(connections.renew)
         self.caller_watch = CallerWatch(self.executors)
         self.caller_watch.start()
         self.metrics = RequestMetrics()
@@ -127,7 +127,7 @@
             StoredRecord("servers", name, 1, msgspec.json.decode(msgspec.json.encode(entry)))
             for name, entry in entries.items()
         )
-        self.workers.take_listing(Listing(1, records))
+        self.workers.apply_listing(Listing(1, records))
 
     def forget_configuration(self):
         self.application._configuration = ConfigurationView()
--- a/features/support/hosted_jobs.py
+++ b/features/support/hosted_jobs.py
@@ -134,13 +134,13 @@
     models = [WorkerStandIn(name, model=MODEL, version=2, events=EVENTS) for name in service_of]
     scorers = [WorkerStandIn(f"app-{number}") for number in range(2)]
     view, workers, executors = ConfigurationView(), WorkersView(), Executors()
-    view.take(configuration(backends), "test")
+    view.apply(configuration(backends), "test")
 
     def show():
         entries = {each.instance: each.entry(service_of[each.instance]) for each in models}
         entries |= {each.instance: each.entry("app") for each in scorers}
         records = tuple(StoredRecord("servers", *found) for found in _numbered(entries))
-        workers.take_listing(Listing(1, records))
+        workers.apply_listing(Listing(1, records))
 
     show()
     ledger, loads = MemoryLedger(), WorkerLoads("a")
--- a/features/support/relay_zone.py
+++ b/features/support/relay_zone.py
@@ -67,14 +67,14 @@
             KindFollower(
                 self.store,
                 RecordKind.CONFIGURATION,
-                self.configuration.take_listing,
-                self.configuration.take_change,
+                self.configuration.apply_listing,
+                self.configuration.apply_change,
             ),
             KindFollower(
                 self.store,
                 RecordKind.WORKERS,
-                self.workers.take_listing,
-                self.workers.take_change,
+                self.workers.apply_listing,
+                self.workers.apply_change,
             ),
         )
         self.transport = MemoryTransport(name, network)
--- a/src/bellweir/hosted/batches/service.py
+++ b/src/bellweir/hosted/batches/service.py
@@ -14,7 +14,7 @@
 from bellweir.hosted.serving.selection import WorkerLoads
 from bellweir.hosted.settings import HostedSettings
 from bellweir.hosted.views.service import ViewsService
-from bellweir.hosted.weights.load_news import LoadListener, hear_loads
+from bellweir.hosted.weights.load_messages import LoadListener, register_load_listener
 from bellweir.kernel import names
 from bellweir.kernel.node import Kernel
 from bellweir.kernel.service import Service
@@ -40,7 +40,7 @@
         """Start the tasks; they act only while this node leads."""
         registry = self._kernel.registry
         self._views = registry.find(names.VIEWS, ViewsService)
-        self._views.workers.subscribe_addresses(self._connections.renew)
+        self._views.workers.subscribe_address_changes(self._connections.renew)
         ledger = registry.find(names.LEDGER, LedgerService)
         ledger.register(BatchJobs)
         self._attempts = ItemAttempts(self._connections, self._loads)
@@ -54,7 +54,7 @@
             self._settings.batches,
         )
         transport = registry.find(names.TRANSPORT, Transport)  # type: ignore[type-abstract]
-        hear_loads(transport, self)
+        register_load_listener(transport, self)
         retention = JobRetention(ledger, self._settings.bounds.status_s)
         self._add_gauges(
             registry.find(names.TELEMETRY, MetricsService).metrics, ledger, coordinator
@@ -102,9 +102,9 @@
             lambda: float(ledger.sound_voters(JOBS_KEY)),
         )
 
-    def load_told(self, worker: Incarnation, model: str, for_s: float) -> None:
+    def on_load_update(self, worker: Incarnation, model: str, for_s: float) -> None:
         """Leave a worker alone while it loads a model's weights."""
-        self._attempts.refusals.load_told(worker, model, for_s)
+        self._attempts.refusals.on_load_update(worker, model, for_s)
 
     def stop(self) -> None:
         """The tasks end with the executors."""
--- a/src/bellweir/hosted/metrics_service.py
+++ b/src/bellweir/hosted/metrics_service.py
@@ -111,7 +111,7 @@
         add(
             "bellweir_workers_started_again",
             "Times since this process began that a worker was read as started again under its id.",
-            lambda: float(views.workers.started_again),
+            lambda: float(views.workers.restart_count),
         )
         add(
             "bellweir_workers_listed",
--- a/src/bellweir/hosted/process.py
+++ b/src/bellweir/hosted/process.py
@@ -35,7 +35,7 @@
     load_settings,
 )
 from bellweir.hosted.store_calls import CountedStore
-from bellweir.hosted.views.relay import FIRST_START_PATIENCE_S, SEED_PATIENCE_S
+from bellweir.hosted.views.relay import FIRST_START_SEED_WAIT_S, SEED_WAIT_S
 from bellweir.hosted.views.service import ViewsService
 from bellweir.kernel import names
 from bellweir.kernel.ending import EXIT_GIVEN_UP
@@ -86,8 +86,8 @@
         add(MembershipService(kernel, shared))
         add(PlacementService(store))
         add(LedgerService(kernel, shared))
-        seeds, patience_s = seeds_to_ask(settings), _seed_patience_s(settings)
-        add(ViewsService(kernel, store, seeds, patience_s, entries))
+        seeds, seed_wait_s = seeds_to_ask(settings), _seed_wait_s(settings)
+        add(ViewsService(kernel, store, seeds, seed_wait_s, entries))
         add(PeerRecords(kernel, store, is_first_start=settings.node.bootstrap))
         add(MetricsService(kernel, settings, store))
         for make in _role_services(settings.node.role):
@@ -169,9 +169,9 @@
     )
 
 
-def _seed_patience_s(settings: HostedSettings) -> float:
+def _seed_wait_s(settings: HostedSettings) -> float:
     """Time for which a seed is waited for before the store is read."""
-    return FIRST_START_PATIENCE_S if settings.node.bootstrap else SEED_PATIENCE_S
+    return FIRST_START_SEED_WAIT_S if settings.node.bootstrap else SEED_WAIT_S
 
 
 def _bind(settings: HostedSettings) -> Listeners:
--- a/src/bellweir/hosted/retirement.py
+++ b/src/bellweir/hosted/retirement.py
@@ -23,7 +23,7 @@
 from bellweir.hosted.settings import HostedSettings
 from bellweir.hosted.views.follower import KindFollower
 from bellweir.hosted.views.service import ViewsService
-from bellweir.hosted.weights.lease_news import StepAside
+from bellweir.hosted.weights.lease_messages import StepAside
 from bellweir.kernel import names
 from bellweir.kernel.node import Kernel
 from bellweir.kernel.service import Service
@@ -66,9 +66,9 @@
             self._take_listing,
             self._take_change,
             is_wanted=lambda: self._ledger.leads(JOBS_KEY),
-            may_be_told=False,
+            is_relayable=False,
         )
-        registry.find(names.VIEWS, ViewsService).also_check(follower)
+        registry.find(names.VIEWS, ViewsService).add_checked_follower(follower)
         self._kernel.executors.run_task("follow-retirements", follower.run)
         self._kernel.executors.run_task("retirement", self._run)
 
--- a/src/bellweir/hosted/scaling/controller.py
+++ b/src/bellweir/hosted/scaling/controller.py
@@ -71,7 +71,7 @@
         standing = self._services.setdefault(service, StandingWorkers())
         ready = self._workers.ready(service)
         standing.note((worker.entry.zone for worker in ready), limits.prices, now_s)
-        if self._lease.may_act_for_s() <= 0:
+        if self._lease.remaining_s() <= 0:
             return
         for wish in self._policy.wishes(standing.zones, limits, now_s):
             if now_s >= self._not_before_s.get((service, wish.zone), float("-inf")):
@@ -81,7 +81,7 @@
         self, service: str, wish: Wish, zones: Mapping[str, ZoneState], limits: ScalingLimits
     ) -> None:
         zone = zones[wish.zone]
-        fence = self._lease.begin_act(CALL_TIMEOUT_S)
+        fence = self._lease.begin_operation(CALL_TIMEOUT_S)
         if fence == 0:
             return
         order = WorkersOrder(service, wish.zone, wish.count, self._node, fence)
--- a/src/bellweir/hosted/serving/service.py
+++ b/src/bellweir/hosted/serving/service.py
@@ -94,7 +94,7 @@
             chooses_by_all=self._settings.sight.choose_by_all,
             choices_made=random.randrange(CHOICES_BY_TIME),
         )
-        self._views.workers.subscribe_addresses(self._connections.renew)
+        self._views.workers.subscribe_address_changes(self._connections.renew)
         membership = registry.find(names.MEMBERSHIP, Membership)  # type: ignore[type-abstract]
         directory = Directory(membership, self._is_serving, self._settings.bounds.address_ttl_s)
         listen = self._settings.listen
--- a/src/bellweir/hosted/usage/reporter.py
+++ b/src/bellweir/hosted/usage/reporter.py
@@ -61,7 +61,7 @@
 
     def step(self) -> None:
         """Report the windows that can be, oldest first; those that are overdue are passed over."""
-        if self._lease.may_act_for_s() <= 0 or not self._is_needed():
+        if self._lease.remaining_s() <= 0 or not self._is_needed():
             self._next = None
             return
         now_s = self._true_time.now_s()
@@ -94,7 +94,7 @@
             # A report without its counts would differ from the one that was made of it.
             self._miss(window)
             return True
-        fence = self._lease.begin_act(CALL_TIMEOUT_S)
+        fence = self._lease.begin_operation(CALL_TIMEOUT_S)
         if fence == 0:
             return False
         report = UsageReport(window, reply.counts, self._node, fence)
--- a/src/bellweir/hosted/views/configuration.py
+++ b/src/bellweir/hosted/views/configuration.py
@@ -109,21 +109,21 @@
         """Call `listener` with each new table."""
         self._listeners.append(listener)
 
-    def take_listing(self, listing: Listing) -> None:
+    def apply_listing(self, listing: Listing) -> None:
         """Take the store's listing."""
         for record in listing.records:
             self._take_record(record)
 
-    def take_change(self, change: RecordChange) -> None:
+    def apply_change(self, change: RecordChange) -> None:
         """Take a change; a configuration is never taken back."""
         if not change.deleted:
             self._take_record(change.record)
 
     def _take_record(self, record: StoredRecord) -> None:
         if record.name == CONFIGURATION_NAME:
-            self.take(record.spec, "store")
+            self.apply(record.spec, "store")
 
-    def take(self, spec: object, source: str) -> None:
+    def apply(self, spec: object, source: str) -> None:
         """Put a configuration in force if it is newer than the one known.
 
         One that can't be read changes nothing; of its parts see `configuration_parts`.
--- a/src/bellweir/hosted/views/follower.py
+++ b/src/bellweir/hosted/views/follower.py
@@ -73,7 +73,7 @@
         on_change: Callable[[RecordChange], None],
         settle_s: float = 0.0,
         is_wanted: Callable[[], bool] = lambda: True,
-        may_be_told: bool = True,
+        is_relayable: bool = True,
         on_return: Callable[[float], None] = lambda _until_s: None,
         entries: UnreadableEntries | None = None,
     ) -> None:
@@ -82,7 +82,7 @@
         Nothing is followed while `is_wanted` says no; the kind is listed anew after that.
         `on_return` hears, before anything is read, that the store was away, and until which
         monotonic time entries that lapsed meanwhile may come back. Peers that follow the store
-        for others tell only the kinds that every process needs; others are not `may_be_told`.
+        for others tell only the kinds that every process needs; others are not `is_relayable`.
         `entries` sorts out what they tell and nobody can use.
         """
         self._settle_s = settle_s
@@ -97,7 +97,7 @@
         self._pause_s = FIRST_PAUSE_S
         self.is_relayed = False
         """Whether peers tell what is new; the store is not asked meanwhile."""
-        self.has_readers: bool | None = None if may_be_told else False
+        self.has_readers: bool | None = None if is_relayable else False
         """Whether peers follow the store for this process, too; None: not known yet."""
         self.has_regular_readers = False
         """Whether these follow it as a rule, not only while the store turns this process away."""
@@ -202,7 +202,7 @@
             return found.failure()
         listing = found.unwrap()
         self._note_answer()
-        self.state.take_listing(listing, asked_s)
+        self.state.apply_listing(listing, asked_s)
         self._must_list = False
         self._listed_s = asked_s
         self.listed.set()
@@ -220,7 +220,7 @@
             return found.failure()
         changes = found.unwrap()
         self._note_answer()
-        self.state.take_changes(changes, time.monotonic() if changes.changes else asked_s)
+        self.state.apply_changes(changes, time.monotonic() if changes.changes else asked_s)
         if not changes.is_whole:
             # Something can't be read that may have taken any object's place: only a list tells.
             stopping.wait(min(LIST_AGAIN_S, self._listed_s + LIST_AGAIN_S - asked_s))
--- a/src/bellweir/hosted/views/kind_state.py
+++ b/src/bellweir/hosted/views/kind_state.py
@@ -5,11 +5,11 @@
 need not agree on who is ahead.
 
 >>> state = KindState("servers", lambda listing: None, lambda change: None)
->>> state.take_listing(Listing(7, ()), as_of_s=0.0)
+>>> state.apply_listing(Listing(7, ()), as_of_s=0.0)
 True
->>> state.take_listing(Listing(6, ()), as_of_s=1.0)
+>>> state.apply_listing(Listing(6, ()), as_of_s=1.0)
 False
->>> state.news_since(7, now_s=2.0).age_s
+>>> state.update_since(7, now_s=2.0).age_s
 1.0
 """
 
@@ -34,7 +34,7 @@
 NEVER_S = float("-inf")
 
 
-class KindNews(msgspec.Struct, frozen=True):
+class KindUpdate(msgspec.Struct, frozen=True):
     """What a peer tells of one kind.
 
     With a `base`, `records` and `gone` hold what changed after that revision; without one,
@@ -106,7 +106,7 @@
         self._floor = 0
         """Revision from which on `_recent` is complete."""
 
-    def take_listing(self, listing: Listing, as_of_s: float) -> bool:
+    def apply_listing(self, listing: Listing, as_of_s: float) -> bool:
         """Take a whole list; False when it is older than what is known."""
         with self._lock:
             self._confirm(as_of_s)
@@ -125,7 +125,7 @@
         self.advanced()
         return True
 
-    def take_changes(self, changes: Changes, as_of_s: float) -> None:
+    def apply_changes(self, changes: Changes, as_of_s: float) -> None:
         """Take what a watch told."""
         with self._lock:
             self._confirm(as_of_s)
@@ -140,25 +140,25 @@
         if changes.changes:
             self.advanced()
 
-    def take_news(self, news: KindNews, now_s: float) -> bool:
+    def apply_update(self, news: KindUpdate, now_s: float) -> bool:
         """Take what a peer tells; False when changes before it are missing here."""
         as_of_s = now_s - news.age_s
         if news.grace_s > 0:
             self.note_return(now_s + news.grace_s)
         told = self._told_records(news)
         if news.base is None:
-            self.take_listing(self._entries.checked(Listing(news.revision, told)), as_of_s)
+            self.apply_listing(self._entries.checked(Listing(news.revision, told)), as_of_s)
         elif self.revision is None or news.base > self.revision:
             return False
         else:
             gone = [RecordChange(self._gone(name), deleted=True) for name in news.gone]
             found = [RecordChange(record, deleted=False) for record in told]
             changes = Changes(news.revision, (*gone, *found))
-            self.take_changes(self._entries.checked_changes(changes), as_of_s)
+            self.apply_changes(self._entries.checked_changes(changes), as_of_s)
         self.relayed_as_of_s = max(self.relayed_as_of_s, as_of_s)
         return True
 
-    def news_since(self, revision: int | None, now_s: float) -> KindNews | None:
+    def update_since(self, revision: int | None, now_s: float) -> KindUpdate | None:
         """What a peer that knows `revision` lacks; None before the first list."""
         with self._lock:
             if self.revision is None:
@@ -167,11 +167,11 @@
             grace_s = max(0.0, self.grace_until_s - now_s)
             if revision is None or revision < self._floor:
                 whole = tuple(self._records.values())
-                return KindNews(self.kind, None, self.revision, whole, (), age_s, grace_s)
+                return KindUpdate(self.kind, None, self.revision, whole, (), age_s, grace_s)
             names = {name for changed_at, name in self._recent if changed_at > revision}
             records = tuple(self._records[name] for name in names if name in self._records)
             gone = tuple(name for name in names if name not in self._records)
-            return KindNews(self.kind, revision, self.revision, records, gone, age_s, grace_s)
+            return KindUpdate(self.kind, revision, self.revision, records, gone, age_s, grace_s)
 
     def note_return(self, until_s: float) -> None:
         """Note that the store is back after an outage; entries that lapsed may come back."""
@@ -205,7 +205,7 @@
             self._floor = max(self._floor, self._recent[0][0])
         self._recent.append((revision, name))
 
-    def _told_records(self, news: KindNews) -> tuple[StoredRecord, ...]:
+    def _told_records(self, news: KindUpdate) -> tuple[StoredRecord, ...]:
         found: list[StoredRecord] = []
         for told in news.records:
             if isinstance(told, StoredRecord):
--- a/src/bellweir/hosted/views/peer_copy.py
+++ b/src/bellweir/hosted/views/peer_copy.py
@@ -53,6 +53,6 @@
         for name, spec in answer.workers.items()
         if checks.is_usable(StoredRecord(RecordKind.WORKERS, name, 0, spec))
     }
-    workers.take_peer_copy(usable)
-    configuration.take(answer.configuration, f"peer {address}")
+    workers.apply_peer_copy(usable)
+    configuration.apply(answer.configuration, f"peer {address}")
     return True
--- a/src/bellweir/hosted/views/relay.py
+++ b/src/bellweir/hosted/views/relay.py
@@ -29,10 +29,10 @@
 
 from bellweir.events.log import emit
 from bellweir.hosted.log_events import STORE_SERVES_AGAIN, STORE_TURNS_AWAY
+from bellweir.hosted.views.fallback_sources import SpareSources
 from bellweir.hosted.views.follower import KindFollower
-from bellweir.hosted.views.kind_state import NEVER_S, KindNews
+from bellweir.hosted.views.kind_state import NEVER_S, KindUpdate
 from bellweir.hosted.views.readers import sources_of
-from bellweir.hosted.views.spare_sources import SpareSources
 from bellweir.membership.interface import Membership
 from bellweir.wire.interface import Message, Sender, Transport
 
@@ -45,9 +45,9 @@
 """Time from the start in which a seed is relied on; 195 nodes know each other after 2 s."""
 OVERLAP_S = 2.0
 """Time for which seeds are asked besides the readers, which turn to the store only then."""
-SEED_PATIENCE_S = 0.5
+SEED_WAIT_S = 0.5
 """Time for which a node that starts waits to be told before it reads the store itself."""
-FIRST_START_PATIENCE_S = 2.0
+FIRST_START_SEED_WAIT_S = 2.0
 """The same at the first start of all, when seeds answer many at once and nobody is served yet."""
 ASK_TIMEOUT_S = 0.25
 """Time for a seed's answer, which takes some milliseconds, before the next one is asked."""
@@ -82,7 +82,7 @@
 class ViewsNews(Message, frozen=True):
     """What a reader tells its subscribers, and what any node answers to a question."""
 
-    kinds: tuple[KindNews, ...]
+    kinds: tuple[KindUpdate, ...]
 
 
 class _Subscriber:
@@ -106,16 +106,16 @@
         membership: Membership,
         followers: Sequence[KindFollower],
         seeds: Sequence[str] = (),
-        patience_s: float = SEED_PATIENCE_S,
+        seed_wait_s: float = SEED_WAIT_S,
         now_s: Callable[[], float] = time.monotonic,
     ) -> None:
         """`seeds` are `host:port` of peers to be asked first; a seed itself has none to ask.
 
-        Nothing is read of the store for `patience_s` while one may tell.
+        Nothing is read of the store for `seed_wait_s` while one may tell.
         """
         self._transport = transport
         self._seeds = tuple(seeds)
-        self._patience_s = patience_s
+        self._seed_wait_s = seed_wait_s
         self._membership = membership
         self._followers = {one.state.kind: one for one in followers}
         self._now_s = now_s
@@ -134,7 +134,7 @@
             follower.state.advanced = self._changed.set
             if self._seeds:
                 follower.has_readers = True
-                follower.patient_until_s = now_s() + patience_s
+                follower.patient_until_s = now_s() + seed_wait_s
         transport.register(ViewsSubscription, self._on_subscription)
         transport.register(ViewsQuestion, self._on_question)
         transport.register(ViewsNews, self._on_news)
@@ -277,7 +277,7 @@
         known_as_of_s = self.told_as_of_s()
         for news in message.kinds:
             follower = self._followers.get(news.kind)
-            if follower is not None and not follower.state.take_news(news, now_s):
+            if follower is not None and not follower.state.apply_update(news, now_s):
                 is_whole = False
         is_younger = self.told_as_of_s() > known_as_of_s
         if is_younger and self._subscribers and now_s - self._told_s >= FORWARD_PERIOD_S:
@@ -302,11 +302,11 @@
         if told and self._transport.send(address, ViewsNews(told)):
             subscriber.known.update({news.kind: news.revision for news in told})
 
-    def _news_since(self, known: Mapping[str, int]) -> tuple[KindNews, ...]:
+    def _news_since(self, known: Mapping[str, int]) -> tuple[KindUpdate, ...]:
         """What is known here beyond those revisions, one piece for each kind with its age."""
         now_s = self._now_s()
         found = (
-            follower.state.news_since(known.get(kind), now_s)
+            follower.state.update_since(known.get(kind), now_s)
             for kind, follower in self._followers.items()
         )
         return tuple(news for news in found if news is not None)
--- a/src/bellweir/hosted/views/service.py
+++ b/src/bellweir/hosted/views/service.py
@@ -8,7 +8,7 @@
 from bellweir.hosted.views.configuration import ConfigurationView
 from bellweir.hosted.views.follower import KindFollower
 from bellweir.hosted.views.peer_copy import copy_views, register_views
-from bellweir.hosted.views.relay import SEED_PATIENCE_S, ViewsRelay
+from bellweir.hosted.views.relay import SEED_WAIT_S, ViewsRelay
 from bellweir.hosted.views.workers import WorkersView
 from bellweir.kernel import names
 from bellweir.kernel.node import Kernel
@@ -41,16 +41,16 @@
         kernel: Kernel,
         store: RecordStore,
         seeds: Sequence[str] = (),
-        patience_s: float = SEED_PATIENCE_S,
+        seed_wait_s: float = SEED_WAIT_S,
         entries: UnreadableEntries | None = None,
     ) -> None:
-        """`seeds` are peers to be asked before the store; for `patience_s` at most.
+        """`seeds` are peers to be asked before the store; for `seed_wait_s` at most.
 
         `entries` sorts out what peers tell and nobody can use.
         """
         self._kernel = kernel
         self._seeds = seeds
-        self._patience_s = patience_s
+        self._seed_wait_s = seed_wait_s
         self._checked: list[KindFollower] = []
         self.entries = entries if entries is not None else UnreadableEntries()
         self.configuration = ConfigurationView(self.entries)
@@ -58,8 +58,8 @@
         self.configuration_follower = KindFollower(
             store,
             RecordKind.CONFIGURATION,
-            self.configuration.take_listing,
-            self.configuration.take_change,
+            self.configuration.apply_listing,
+            self.configuration.apply_change,
             entries=self.entries,
         )
         self.workers_follower = KindFollower(
@@ -89,7 +89,7 @@
         """Monotonic time as of which peers have told all news: the store served one of them."""
         return self._relay.told_as_of_s()
 
-    def also_check(self, follower: KindFollower) -> None:
+    def add_checked_follower(self, follower: KindFollower) -> None:
         """Compare another service's view with cheap readings, too."""
         self._checked.append(follower)
 
@@ -104,7 +104,7 @@
             self._membership,
             (self.configuration_follower, self.workers_follower),
             self._seeds,
-            self._patience_s,
+            self._seed_wait_s,
         )
         run_task = self._kernel.executors.run_task
         run_task("tell-views", self._relay.tell)
@@ -118,10 +118,10 @@
         """The tasks end with the executors."""
 
     def _take_workers(self, listing: Listing) -> None:
-        self.workers.take_listing(listing)
+        self.workers.apply_listing(listing)
 
     def _take_worker(self, change: RecordChange) -> None:
-        self.workers.take_change(change)
+        self.workers.apply_change(change)
 
     def _check(self, stopping: threading.Event) -> None:
         """Interrupt watches that were cut in silence."""
--- a/src/bellweir/hosted/views/workers.py
+++ b/src/bellweir/hosted/views/workers.py
@@ -26,7 +26,7 @@
     WORKER_STARTED_AGAIN,
 )
 from bellweir.hosted.records import WorkerEntry, WorkerState
-from bellweir.hosted.views.starts import AddressStarts, StartVerdict, WorkerStarts
+from bellweir.hosted.views.incarnation_tracker import AddressStarts, StartVerdict, WorkerStarts
 
 GONE = "gone"
 
@@ -81,7 +81,7 @@
         self._fresh = False
         self.revision = 0
         """Counts changes, so that others can tell whether to look again."""
-        self.started_again = 0
+        self.restart_count = 0
         """Times that a worker was read as started again."""
 
     def worker(self, instance: str) -> Worker | None:
@@ -128,7 +128,7 @@
         with self._lock:
             return {instance: listed.spec for instance, listed in self._entries.items()}
 
-    def subscribe_addresses(self, on_other: Callable[[str], None]) -> None:
+    def subscribe_address_changes(self, on_other: Callable[[str], None]) -> None:
         """Call back with each address at which another worker is now, or one that started again.
 
         What is open to the address leads to nobody any more. Called off the lock, on the thread
@@ -136,17 +136,17 @@
         """
         self._on_other.append(on_other)
 
-    def take_listing(self, listing: Listing) -> None:
+    def apply_listing(self, listing: Listing) -> None:
         """Replace the whole view."""
         entries = {record.name: _Listed(record.spec, record.revision) for record in listing.records}
         self._update(lambda _before: entries, fresh=True)
 
-    def take_peer_copy(self, specs: Mapping[str, object]) -> None:
+    def apply_peer_copy(self, specs: Mapping[str, object]) -> None:
         """Use a peer's view, unless the store has been read already."""
         copied = {instance: _Listed(spec, 0) for instance, spec in specs.items()}
         self._update(lambda before: before if self._fresh else copied, fresh=False)
 
-    def take_change(self, change: RecordChange) -> None:
+    def apply_change(self, change: RecordChange) -> None:
         """Apply one change."""
         record = change.record
 
@@ -204,7 +204,7 @@
         if newest is None or verdict in (StartVerdict.FIRST, StartVerdict.KNOWN):
             return False
         is_former = verdict is not StartVerdict.AGAIN
-        self.started_again += not is_former
+        self.restart_count += not is_former
         if known is None or listed.revision != known.revision:
             emit(
                 WORKER_FORMER_ENTRY if is_former else WORKER_STARTED_AGAIN,
--- a/src/bellweir/hosted/weights/controller.py
+++ b/src/bellweir/hosted/weights/controller.py
@@ -122,7 +122,7 @@
     def step(self) -> None:
         """Look after the loads under way, and order the next ones."""
         table = self._configuration.table()
-        if table is None or self._lease.may_act_for_s() <= 0:
+        if table is None or self._lease.remaining_s() <= 0:
             self._loads.clear()
             return
         self._look_after_loads()
@@ -183,7 +183,7 @@
         if report.order_in_progress:
             load.look_s = now_s + LOOK_AGAIN_S
             return
-        fence = self._lease.begin_act(ORDER_TIMEOUT_S)
+        fence = self._lease.begin_operation(ORDER_TIMEOUT_S)
         if fence == 0:
             return
         order = VersionOrder(
--- a/src/bellweir/hosted/weights/lags.py
+++ b/src/bellweir/hosted/weights/lags.py
@@ -4,7 +4,7 @@
 
 from bellweir.events.log import emit
 from bellweir.hosted.log_events import ALLOWANCE_LEARNT
-from bellweir.hosted.weights.job_news import NewestJob
+from bellweir.hosted.weights.job_messages import NewestJob
 
 LONGEST_LAG = 1
 """A longer allowance is not used: samples should be as fresh as loads allow."""
--- a/src/bellweir/hosted/weights/lease.py
+++ b/src/bellweir/hosted/weights/lease.py
@@ -1,6 +1,6 @@
 """A lease of a duty, kept as one object of the store, with its revision as the fence.
 
-A holder tells the other nodes of each renewal (`lease_news`), so that they know the newest
+A holder tells the other nodes of each renewal (`lease_messages`), so that they know the newest
 revision and since when without a look, also while the store is away.
 
 The holder counts on the lease for `valid_s` from the beginning of its last successful renewal, on
@@ -162,7 +162,7 @@
         """Whether this node has the lease, also while it may not act yet."""
         return self._record is not None
 
-    def may_act_for_s(self) -> float:
+    def remaining_s(self) -> float:
         """Seconds for which this node may surely act from now; 0 or less: not at all."""
         now_s = self._now_s()
         if self.fence == 0 or now_s < self._act_from_s:
@@ -230,13 +230,13 @@
         self._given_up = _GivenUp(revision, now_s, idle_s, look_from_s)
         self.woken.set()
 
-    def begin_act(self, seconds: float) -> int:
+    def begin_operation(self, seconds: float) -> int:
         """Return the fence for an act of so many seconds that begins now; 0: it may not begin.
 
         Called before each act: a lease that is given back tells how long ago the last one ended.
         """
         with self._act_lock:
-            if self.may_act_for_s() <= seconds:
+            if self.remaining_s() <= seconds:
                 return 0
             self._acted_until_s = self._now_s() + seconds
             return self.fence
--- a/src/bellweir/hosted/weights/load_news.py
+++ b/src/bellweir/hosted/weights/load_messages.py
@@ -39,7 +39,7 @@
     """Hears which workers load weights."""
 
     @abstractmethod
-    def load_told(self, worker: Incarnation, model: str, for_s: float) -> None:
+    def on_load_update(self, worker: Incarnation, model: str, for_s: float) -> None:
         """A worker refuses a model's new runs for about `for_s` from now on; 0: no longer."""
 
 
@@ -63,17 +63,17 @@
     def tell(self, worker: Incarnation, model: str, for_s: float) -> None:
         """Tell of a load that begins or, with 0, has ended."""
         if self._own_listener is not None:
-            self._own_listener.load_told(worker, model, for_s)
+            self._own_listener.on_load_update(worker, model, for_s)
         address = self._coordinator_address()
         if address is not None:
             told = LoadNews(worker.instance, worker.born_ms, model, for_s)
             self._transport.send(address, told)
 
 
-def hear_loads(transport: Transport, listener: LoadListener) -> None:
+def register_load_listener(transport: Transport, listener: LoadListener) -> None:
     """Hand what other nodes tell to a listener."""
 
     def handle(_sender: Sender, told: LoadNews) -> None:
-        listener.load_told(told.worker, told.model, told.for_s)
+        listener.on_load_update(told.worker, told.model, told.for_s)
 
     transport.register(LoadNews, handle)
--- a/src/bellweir/hosted/weights/service.py
+++ b/src/bellweir/hosted/weights/service.py
@@ -11,11 +11,11 @@
 from bellweir.hosted.views.follower import KindFollower
 from bellweir.hosted.views.service import ViewsService
 from bellweir.hosted.weights.controller import RolloutController
-from bellweir.hosted.weights.job_news import JobsHeard, JobTeller, NewestJob
+from bellweir.hosted.weights.job_messages import JobsHeard, JobTeller, NewestJob
 from bellweir.hosted.weights.lags import VersionLags
 from bellweir.hosted.weights.lease import Lease
-from bellweir.hosted.weights.lease_news import LeaseTeller
-from bellweir.hosted.weights.load_news import LoadListener, LoadTeller
+from bellweir.hosted.weights.lease_messages import LeaseTeller
+from bellweir.hosted.weights.load_messages import LoadListener, LoadTeller
 from bellweir.hosted.weights.versions import VersionsView
 from bellweir.kernel import names
 from bellweir.kernel.node import Kernel
@@ -80,10 +80,10 @@
         follower = KindFollower(
             self._platform.store,
             RecordKind.VERSIONS,
-            self._versions.take_listing,
-            self._versions.take_change,
+            self._versions.apply_listing,
+            self._versions.apply_change,
             is_wanted=lambda: self._lease.is_held,
-            may_be_told=False,
+            is_relayable=False,
         )
         self._controller = RolloutController(
             self._lease,
@@ -96,15 +96,15 @@
             sparse_loads=self._settings.rollouts.sparse_loads,
             tell_load=self._load_teller(transport).tell,
         )
-        views.workers.subscribe_addresses(self._platform.control.renew)
+        views.workers.subscribe_address_changes(self._platform.control.renew)
         metrics = self._kernel.registry.find(names.TELEMETRY, MetricsService).metrics
         metrics.add_gauge(
             "bellweir_rollout_lease_seconds",
             "Time for which this node may surely act under the lease of roll-outs; 0 without it.",
-            lambda: max(0.0, self._lease.may_act_for_s()),
+            lambda: max(0.0, self._lease.remaining_s()),
         )
         run_task = self._kernel.executors.run_task
-        views.also_check(follower)
+        views.add_checked_follower(follower)
         run_task("follow-versions", follower.run)
         run_task("rollout-lease", self._keep_lease)
         run_task("rollout-control", self._control)
--- a/src/bellweir/hosted/weights/versions.py
+++ b/src/bellweir/hosted/weights/versions.py
@@ -19,12 +19,12 @@
         """Newest named version by model."""
         return self._versions
 
-    def take_listing(self, listing: Listing) -> None:
+    def apply_listing(self, listing: Listing) -> None:
         """Take the store's listing."""
         for record in listing.records:
             self._take(record)
 
-    def take_change(self, change: RecordChange) -> None:
+    def apply_change(self, change: RecordChange) -> None:
         """Take a change; a named version is never taken back."""
         if not change.deleted:
             self._take(change.record)
