--- a/features/support/hosted_gateway.py
+++ b/features/support/hosted_gateway.py
@@ -90,7 +90,9 @@
         self.metrics = RequestMetrics()
         self.usage = UsageCounter(USAGE_WINDOW_S, StableWallClock())
         self.known_workers = WorkersSeen()
-        room = ObservedCapacity(self.loads.in_flight, self.loads.mean_s, sight or self.known_workers)
+        room = ObservedCapacity(
+            self.loads.in_flight, self.loads.mean_s, sight or self.known_workers
+        )
         self.room_settings = room_settings or RoomSettings()
         self.refused = []
         self.gate = RequestGate(room, self.room_settings, self.refused.append)
