--- a/features/steps/hosted_reading_steps.py
+++ b/features/steps/hosted_reading_steps.py
@@ -42,7 +42,7 @@
     StageItems,
     TextCheckpoint,
 )
-from bellweir.hosted.batches.texts import pack_text
+from bellweir.hosted.batches.text_compression import compress_text
 from bellweir.ledger.machines import Codec
 from bellweir.ledger.messages import PeekAnswer
 from bellweir.ledger.nearby import NearbyReads
@@ -440,7 +440,7 @@
         if what in ("keep", "again"):
             # A new leader may keep the newest part once more.
             after = kept[item] if what == "keep" else max(0, kept[item] - 1)
-            packed = pack_text(f"kept {item} {after}")
+            packed = compress_text(f"kept {item} {after}")
             commands.append(
                 KeepParts("job", (TextCheckpoint(item_id, after, 1, after, packed, (1,)),))
             )
@@ -454,7 +454,7 @@
                 item_id,
                 True,
                 versions=(1,),
-                compressed=pack_text(text),
+                compressed=compress_text(text),
                 length=9,
                 checkpointed_events=behind,
             )
--- a/src/bellweir/hosted/batches/api.py
+++ b/src/bellweir/hosted/batches/api.py
@@ -8,9 +8,9 @@
 from returns.result import Failure, Result, Success
 
 from bellweir.events.log import emit
+from bellweir.hosted.batches.deferred_reads import DeferredReads
 from bellweir.hosted.batches.formats import decode_job
 from bellweir.hosted.batches.pages import encode_bounded_page
-from bellweir.hosted.batches.put_off import PutOffReadings
 from bellweir.hosted.batches.result_cache import ResultCache
 from bellweir.hosted.batches.state import (
     JOBS_KEY,
@@ -29,7 +29,7 @@
 from bellweir.hosted.interface import CallPaths, HeaderNames
 from bellweir.hosted.log_events import JOB_ACCEPTED, JOB_ENDED, JOB_NOT_ACCEPTED
 from bellweir.hosted.records import Route
-from bellweir.hosted.serving.forwarding import own_response
+from bellweir.hosted.serving.forwarding import gateway_response
 from bellweir.http_server.http import BadRequestError, Request, Response, parse_integer
 from bellweir.ledger.interface import Ledger, LedgerError, LedgerErrorKind, Reply
 
@@ -44,9 +44,9 @@
 NEARBY_TIMEOUT_S = 0.15
 """Time for the replica in this zone."""
 LEADER_TIMEOUT_S = 0.9
-"""Time for the leader to answer a read. It exceeds the 0.8 s after which a gateway without its ledger
-node uses another one, and leaves time to ask the replicas before the client gives up, 1.5 s after
-the hold time that it requested."""
+"""Time for the leader to answer a read. It exceeds the 0.8 s after which a gateway that is cut off
+from its ledger node uses another one, and leaves time to ask the replicas before the client
+gives up, 1.5 s after the hold time that it requested."""
 REMAINDER_TIMEOUT_S = 0.3
 """The same if the zone's replica has returned results: the next read gets the rest."""
 REPLICAS_TIMEOUT_S = 0.3
@@ -71,7 +71,7 @@
     ) -> None:
         """With `nearby_reads`, results are read from the replica in this zone if it has them.
 
-        `count_deferred` is called for each deferred read; see `PutOffReadings`.
+        `count_deferred` is called for each deferred read; see `DeferredReads`.
         """
         self._ledger = ledger
         self._paths = paths
@@ -79,7 +79,7 @@
         self._nearby_reads = nearby_reads
         self._pause = threading.Event()
         self._cache = ResultCache()
-        self._deferred_reads = PutOffReadings(count_deferred)
+        self._deferred_reads = DeferredReads(count_deferred)
         self.accept_timeout_s = ACCEPT_TIMEOUT_S
 
     def is_job_request(self, request: Request) -> bool:
@@ -102,7 +102,7 @@
         match outcome:
             case Success(JobAccepted(is_foreign=True)):
                 emit(JOB_NOT_ACCEPTED, request_id=job.id, status=409, cause="another tenant's id")
-                return own_response(409, "id_in_use")
+                return gateway_response(409, "id_in_use")
             case Success(JobAccepted()):
                 emit(
                     JOB_ACCEPTED,
@@ -118,7 +118,7 @@
                 return Response(202)
             case Failure(error):
                 return self._not_accepted(job, error)
-        return own_response(500, "unexpected_reply")
+        return gateway_response(500, "unexpected_reply")
 
     def _submit_job(self, job: Job, deadline_s: float) -> Result[Reply, LedgerError]:
         """Retry until the outcome is known or the deadline; the command is idempotent by job id."""
@@ -157,7 +157,7 @@
         is_rejected = error.kind is LedgerErrorKind.UNAVAILABLE
         status = 503 if is_rejected else 504
         emit(JOB_NOT_ACCEPTED, request_id=job.id, status=status, cause=error.detail[:160])
-        return own_response(status, "not_accepted", RETRY_AFTER_S if is_rejected else None)
+        return gateway_response(status, "not_accepted", RETRY_AFTER_S if is_rejected else None)
 
     def serve_job_request(self, request: Request, tenant: str = "") -> Response:
         """Read results or an item's body, or end a job, if `tenant` may see it."""
@@ -169,7 +169,7 @@
             return self._end(job_id, tenant)
         if request.method == "GET":
             return self._results(request, job_id, tenant)
-        return own_response(405, "method_not_allowed")
+        return gateway_response(405, "method_not_allowed")
 
     def _results(self, request: Request, job_id: str, tenant: str) -> Response:
         after = parse_integer("after", request.query("after") or "0")
@@ -178,9 +178,9 @@
         while True:
             page = self._read_page(job_id, after, tenant)
             if page is None:
-                return own_response(503, "no_ledger", RETRY_AFTER_S)
+                return gateway_response(503, "no_ledger", RETRY_AFTER_S)
             if page.total is None:
-                return own_response(404, "no_such_job")
+                return gateway_response(404, "no_such_job")
             held = not page.results and time.monotonic() < until_s
             if not held or request.caller_has_left():
                 content = encode_bounded_page(page.total, after, page.results)
@@ -220,7 +220,7 @@
                 outcome.failure().detail if isinstance(outcome, Failure) else "unexpected reply"
             )
             nearby = "no_job" if near.total is None else "behind"
-            self._deferred_reads.tell(job_id, after, leader, nearby)
+            self._deferred_reads.record(job_id, after, leader, nearby)
         return anywhere
 
     def _read_replicas(self, query: ReadResults) -> ResultsPage | None:
@@ -249,9 +249,9 @@
         if not isinstance(found, ItemBody):
             found = self._read_body_from_replicas(query)
         if found is None:
-            return own_response(503, "no_ledger", RETRY_AFTER_S)
+            return gateway_response(503, "no_ledger", RETRY_AFTER_S)
         if found.body is None:
-            return own_response(404, "no_such_item")
+            return gateway_response(404, "no_such_item")
         return Response(200, [("Content-Type", "application/octet-stream")], found.body)
 
     def _read_body_from_replicas(self, query: ReadItem) -> ItemBody | None:
@@ -270,10 +270,10 @@
         match ended:
             case Success(JobEnded(is_known)):
                 if not is_known:
-                    return own_response(404, "no_such_job")
+                    return gateway_response(404, "no_such_job")
                 emit(JOB_ENDED, request_id=job_id, listed=None, items=None)
                 return Response(200)
-        return own_response(503, "no_ledger", RETRY_AFTER_S)
+        return gateway_response(503, "no_ledger", RETRY_AFTER_S)
 
 
 def _is_at_end(page: ResultsPage, after: int) -> bool:
--- a/src/bellweir/hosted/batches/attempts.py
+++ b/src/bellweir/hosted/batches/attempts.py
@@ -6,17 +6,17 @@
 
 from bellweir.clients.open_answer import OpenAnswer
 from bellweir.events.log import emit
-from bellweir.hosted.batches.failing import FailingWorkers
-from bellweir.hosted.batches.lengths import TextLengths
-from bellweir.hosted.batches.pace import WorkerPaces
+from bellweir.hosted.batches.event_times import WorkerEventTimes
+from bellweir.hosted.batches.length_prediction import LengthPredictor
 from bellweir.hosted.batches.progress import (
     EventsMissingError,
     ItemProgress,
     VersionMixedError,
     VersionTooOldError,
 )
-from bellweir.hosted.batches.refusals import RefusalGuard
+from bellweir.hosted.batches.refusals import RefusalBackoff
 from bellweir.hosted.batches.state import JobItem, TextCheckpoint
+from bellweir.hosted.batches.worker_quarantine import WorkerQuarantine
 from bellweir.hosted.event_stream import EventSplitter, EventTooLongError
 from bellweir.hosted.incarnation import Incarnation
 from bellweir.hosted.interface import HeaderNames
@@ -32,7 +32,7 @@
     OpenedAttempt,
     WorkerCall,
     WorkerConnections,
-    read_whole,
+    read_response,
 )
 from bellweir.hosted.serving.selection import WorkerLoads
 from bellweir.hosted.views.workers import Worker
@@ -40,10 +40,10 @@
 FIRST_EVENT_TIMEOUT_S = 3.0
 STREAM_IDLE_TIMEOUT_S = 2.0
 """Time without an event after which another worker continues; longer than a load of weights."""
-RUN_DEADLINE_MS = 60_000.0
+GENERATION_DEADLINE_MS = 60_000.0
 """Time that a worker may spend on a generation."""
-SCORE_TIMEOUT_S = 1.0
-SCORE_DEADLINE_MS = 5_000.0
+SCORING_TIMEOUT_S = 1.0
+SCORING_DEADLINE_MS = 5_000.0
 REFUSED_BACKOFF_S = 0.05
 FAILED_BACKOFF_S = 0.02
 CANCELLED = "ended here"
@@ -67,12 +67,12 @@
     def __init__(self, connections: WorkerConnections, loads: WorkerLoads) -> None:
         self._connections = connections
         self._loads = loads
-        self.refusal_backoff = RefusalGuard()
-        self.quarantine = FailingWorkers()
+        self.refusal_backoff = RefusalBackoff()
+        self.quarantine = WorkerQuarantine()
         self.service_workers_of: Callable[[Worker], Collection[Incarnation]] = _no_service_workers
         """Returns the workers of a worker's service, including itself; empty: not restricted."""
-        self.event_times = WorkerPaces()
-        self.length_predictor = TextLengths()
+        self.event_times = WorkerEventTimes()
+        self.length_predictor = LengthPredictor()
         self.save_checkpoint: Callable[[ItemProgress, TextCheckpoint], None] = (
             lambda _progress, _checkpoint: None
         )
@@ -82,11 +82,11 @@
 
     def predicted_events(self, progress: ItemProgress) -> float:
         """Return the predicted number of events of an item's text."""
-        return self.length_predictor.expected(progress.item.id, progress.guessed_tokens)
+        return self.length_predictor.predict_events(progress.item.id, progress.guessed_tokens)
 
     def predicted_events_or_none(self, progress: ItemProgress) -> float | None:
         """Return the prediction; None before the first text has ended, as it is uncalibrated."""
-        return self.predicted_events(progress) if self.length_predictor.is_known else None
+        return self.predicted_events(progress) if self.length_predictor.is_calibrated else None
 
     def guessed_tokens(self, item: JobItem) -> float | None:
         """Return the length hint in an item's headers, in tokens; None without one."""
@@ -132,7 +132,7 @@
                 worker,
                 _text_call(progress, self._connections.headers),
                 FIRST_EVENT_TIMEOUT_S,
-                RUN_DEADLINE_MS,
+                GENERATION_DEADLINE_MS,
                 cancellation,
             )
             state = opened.state
@@ -151,7 +151,7 @@
         """End a cancelled attempt; it doesn't count as a failure of the worker."""
         if opened is not None:
             opened.drop()
-        self._loads.released(worker.incarnation)
+        self._loads.release(worker.incarnation)
         self._log_attempt_failed(progress, worker, CANCELLED)
 
     def _read_events(
@@ -189,8 +189,10 @@
             self._end_failed_stream(progress, worker, exc)
             return
         opened.finish()
-        self._loads.answered(worker.incarnation, time.monotonic() - began_s)
-        self.length_predictor.finished(progress.item.id, progress.guessed_tokens, progress.events)
+        self._loads.record_success(worker.incarnation, time.monotonic() - began_s)
+        self.length_predictor.record_completed(
+            progress.item.id, progress.guessed_tokens, progress.events
+        )
         progress.complete_generation()
 
     def _record_events(
@@ -199,7 +201,9 @@
         """Record received events; the first ones of an attempt don't count as event times."""
         now_s = time.monotonic()
         if not is_first:
-            self.event_times.note_gap(worker.incarnation, (now_s - progress.last_event_s) / count)
+            self.event_times.record_interval(
+                worker.incarnation, (now_s - progress.last_event_s) / count
+            )
         progress.last_event_s = now_s
         if (
             self.checkpoint_interval_s > 0
@@ -214,21 +218,21 @@
         if isinstance(exc, VersionMixedError | EventsMissingError):
             progress.restart()
         if isinstance(exc, VersionTooOldError | VersionMixedError):
-            self._loads.refused(worker.incarnation)
+            self._loads.record_refusal(worker.incarnation)
         else:
-            self._loads.failed(worker.incarnation)
+            self._loads.record_failure(worker.incarnation)
         self._log_attempt_failed(progress, worker, repr(exc))
 
     def _handle_no_answer(
         self, progress: ItemProgress, worker: Worker, opened: OpenedAttempt
     ) -> None:
         if opened.opened is not None:
-            read_whole(opened.opened, opened)
+            read_response(opened.opened, opened)
         if opened.state is AttemptState.REFUSED:
-            self._loads.released(worker.incarnation)
+            self._loads.release(worker.incarnation)
             progress.not_before_s = time.monotonic() + REFUSED_BACKOFF_S
         else:
-            self._loads.failed(worker.incarnation)
+            self._loads.record_failure(worker.incarnation)
             progress.not_before_s = time.monotonic() + FAILED_BACKOFF_S
         self._log_attempt_failed(progress, worker, f"{opened.state.value}: {opened.detail}")
 
@@ -237,8 +241,8 @@
     ) -> None:
         status = opened.opened.status if opened.opened is not None else SERVER_ERROR
         if opened.opened is not None:
-            read_whole(opened.opened, opened)
-        self._loads.released(worker.incarnation)
+            read_response(opened.opened, opened)
+        self._loads.release(worker.incarnation)
         progress.not_before_s = time.monotonic() + FAILED_BACKOFF_S
         self._record_failure(progress, worker, status)
         if status == UNPROCESSABLE:
@@ -258,13 +262,13 @@
         """Score the complete text."""
         scorer = progress.item.scorer
         if scorer is None:
-            self._loads.released(worker.incarnation)
+            self._loads.release(worker.incarnation)
             progress.finish("")
             return
         began_s = time.monotonic()
         call = WorkerCall("POST", scorer.path, scorer.host, scorer.id, [], scorer.body)
         outcome = self._connections.call(
-            worker, call, SCORE_TIMEOUT_S, SCORE_DEADLINE_MS, cancellation
+            worker, call, SCORING_TIMEOUT_S, SCORING_DEADLINE_MS, cancellation
         )
         answer = outcome.answer
         if cancellation.cancelled.is_set() and answer is None:
@@ -272,17 +276,17 @@
             return
         if outcome.state is AttemptState.ANSWERED and answer is not None:
             if answer.status < 300:
-                self._loads.answered(worker.incarnation, time.monotonic() - began_s)
+                self._loads.record_success(worker.incarnation, time.monotonic() - began_s)
                 self._record_success(worker, began_s)
                 progress.finish(_header(answer.headers, self._connections.headers.stamp))
                 return
             # The duration of a failure must not count as latency of the worker.
-            self._loads.released(worker.incarnation)
+            self._loads.release(worker.incarnation)
             self._handle_scoring_error(progress, answer.status, maximum_failures, worker)
         elif outcome.state is AttemptState.REFUSED:
-            self._loads.refused(worker.incarnation)
+            self._loads.record_refusal(worker.incarnation)
         else:
-            self._loads.failed(worker.incarnation)
+            self._loads.record_failure(worker.incarnation)
         progress.not_before_s = time.monotonic() + FAILED_BACKOFF_S
         self._log_attempt_failed(
             progress, worker, f"scoring: {outcome.state.value} {outcome.detail}"
@@ -297,7 +301,7 @@
             self._fail_if_exhausted(progress, maximum_failures, worker)
 
     def _record_success(self, worker: Worker, began_s: float) -> None:
-        if self.quarantine.served(worker.incarnation, began_s):
+        if self.quarantine.succeeded(worker.incarnation, began_s):
             emit(WORKER_SERVES_AGAIN, instance=worker.instance)
 
     def _record_failure(self, progress: ItemProgress, worker: Worker, status: int) -> None:
@@ -306,7 +310,7 @@
             return
         failures = self.quarantine.failed(worker.incarnation, progress.item.id)
         service_workers = self.service_workers_of(worker)
-        failing = self.quarantine.failing_all(service_workers)
+        failing = self.quarantine.failing_workers(service_workers)
         if worker.incarnation in failing:
             emit(
                 WORKER_FAILS_ALL,
@@ -319,11 +323,11 @@
 
     def _fail_if_exhausted(self, progress: ItemProgress, allowed: int, worker: Worker) -> None:
         service_workers = self.service_workers_of(worker)
-        if self.quarantine.is_given_up(progress.stage_failures, allowed, service_workers):
+        if self.quarantine.has_exhausted_retries(progress.stage_failures, allowed, service_workers):
             progress.give_up()
 
     def _log_attempt_failed(self, progress: ItemProgress, worker: Worker, cause: str) -> None:
-        self.length_predictor.note_events(progress.item.id, progress.events)
+        self.length_predictor.record_events(progress.item.id, progress.events)
         emit(
             ITEM_BROKEN,
             request_id=progress.item.id,
--- a/src/bellweir/hosted/batches/progress.py
+++ b/src/bellweir/hosted/batches/progress.py
@@ -5,7 +5,7 @@
 from enum import Enum
 
 from bellweir.hosted.batches.state import ItemResult, Job, JobItem, TextCheckpoint
-from bellweir.hosted.batches.texts import pack_text, unpack_text
+from bellweir.hosted.batches.text_compression import compress_text, decompress_text
 from bellweir.hosted.event_stream import StreamEvent
 from bellweir.hosted.incarnation import Incarnation
 from bellweir.hosted.records import Route
@@ -129,7 +129,7 @@
             self.checkpointed_events,
             count,
             self.last_event_id,
-            pack_text(text),
+            compress_text(text),
             tuple(self.versions),
         )
         self.checkpointed_events = self.events
@@ -142,7 +142,7 @@
         is_fresh = bool(versions) and min(versions) >= self.job.minimum_version
         if not is_fresh or (self.route.single_version and len(versions) > 1):
             return False
-        self.pieces = [unpack_text(each.compressed) for each in checkpoints]
+        self.pieces = [decompress_text(each.compressed) for each in checkpoints]
         self.versions = list(versions)
         self.last_event_id = checkpoints[-1].last_event_id
         self.events = self.checkpointed_events = sum(each.events for each in checkpoints)
@@ -168,7 +168,7 @@
             True,
             versions=tuple(sorted(self.versions)),
             score=score,
-            compressed=pack_text("\n".join(tail)) if tail else b"",
+            compressed=compress_text("\n".join(tail)) if tail else b"",
             length=len("\n".join(self.pieces)),
             checkpointed_events=self.checkpointed_events,
         )
--- a/src/bellweir/hosted/batches/state.py
+++ b/src/bellweir/hosted/batches/state.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from bellweir.hosted.batches.retention_clock import RetentionClock
-from bellweir.hosted.batches.texts import pack_text, unpack_text
+from bellweir.hosted.batches.text_compression import compress_text, decompress_text
 from bellweir.ledger.interface import Command, Query, Reply, StateMachine
 
 JOBS_KEY = "batch-jobs"
@@ -98,7 +98,7 @@
     versions: tuple[int, ...] = ()
     score: str = ""
     compressed: bytes = msgspec.field(default=b"", name="packed")
-    """The text, compressed by `pack_text`; with checkpoints, what follows them."""
+    """The text, compressed by `compress_text`; with checkpoints, what follows them."""
     length: int = 0
     """Length of the full text in characters."""
     compressed_checkpoints: tuple[bytes, ...] = msgspec.field(default=(), name="earlier")
@@ -111,7 +111,7 @@
         cls, item_id: str, is_complete: bool, text: str, versions: tuple[int, ...], score: str = ""
     ) -> "ItemResult":
         """Return a result with its text compressed."""
-        return cls(item_id, is_complete, "", versions, score, pack_text(text), len(text))
+        return cls(item_id, is_complete, "", versions, score, compress_text(text), len(text))
 
     @property
     def full_text(self) -> str:
@@ -123,7 +123,7 @@
             if self.compressed
             else self.compressed_checkpoints
         )
-        return "\n".join(unpack_text(each) for each in compressed)
+        return "\n".join(decompress_text(each) for each in compressed)
 
     @property
     def response_size(self) -> int:
--- a/src/bellweir/hosted/batches/worker_choice.py
+++ b/src/bellweir/hosted/batches/worker_selection.py
@@ -3,18 +3,18 @@
 from collections.abc import Callable, Collection, Sequence
 
 from bellweir.hosted.batches.attempts import ItemRunner
-from bellweir.hosted.batches.engine_outlook import EngineOutlook
-from bellweir.hosted.batches.mover import Run
+from bellweir.hosted.batches.engine_forecast import EngineOutlook
 from bellweir.hosted.batches.progress import ItemProgress, Stage
+from bellweir.hosted.batches.run_mover import Run
 from bellweir.hosted.incarnation import Incarnation
 from bellweir.hosted.records import Route
-from bellweir.hosted.serving.selection import WeightedParts, WorkerLoads
+from bellweir.hosted.serving.selection import WeightedRoundRobin, WorkerLoads
 from bellweir.hosted.settings import BatchSettings
 from bellweir.hosted.views.configuration import RouteTable
 from bellweir.hosted.views.workers import Worker, WorkersView
 
 
-class WorkerChoice:
+class WorkerSelector:
     """Called by the coordinator's task; attempts ask it for the fellows of a worker."""
 
     def __init__(
@@ -28,16 +28,16 @@
         self._loads = loads
         self._attempts = attempts
         self._policy = policy
-        self._parts = WeightedParts()
+        self._parts = WeightedRoundRobin()
         self._outlook = EngineOutlook(attempts, policy)
         if policy.set_failing_aside:
             attempts.service_workers_of = lambda worker: self._fellows(worker.entry.service)
 
-    def begin_look(self, running: Sequence[Run], table: RouteTable) -> None:
+    def begin_round(self, running: Sequence[Run], table: RouteTable) -> None:
         """Begin a look at what waits; `running` is what is in hand now."""
         self._outlook.begin(running, table)
 
-    def paces_of(self, service: str) -> list[tuple[float, int]]:
+    def event_times_of(self, service: str) -> list[tuple[float, int]]:
         """Seconds an event and places of each engine of a service."""
         return [
             (self._attempts.event_times.of(worker.incarnation), worker.entry.slots)
@@ -49,7 +49,7 @@
         """Whether the item that got no worker waits for a better one, though others have room."""
         return self._outlook.is_held
 
-    def take_worker(self, progress: ItemProgress, table: RouteTable) -> Worker | None:
+    def acquire_worker(self, progress: ItemProgress, table: RouteTable) -> Worker | None:
         """Take a place at a worker with room; None when there is none now, or none good enough."""
         self._outlook.is_held = False
         if progress.stage is Stage.SCORING:
@@ -57,21 +57,21 @@
             return self._choose(route, progress, table) if route is not None else None
         return self._choose(progress.route, progress, table)
 
-    def targets(self, progress: ItemProgress, service: str) -> list[tuple[Worker, int]]:
+    def move_targets(self, progress: ItemProgress, service: str) -> list[tuple[Worker, int]]:
         """Workers of a service that an item's run could be moved to, with their free places."""
-        failing = self._attempts.quarantine.failing_all(self._fellows(service))
+        failing = self._attempts.quarantine.failing_workers(self._fellows(service))
         return [
-            (worker, worker.entry.slots - self._loads.in_hand(worker.incarnation))
+            (worker, worker.entry.slots - self._loads.in_flight(worker.incarnation))
             for worker in self._fitting(service, progress)
             if worker.incarnation not in failing and self._has_room(worker, progress)
         ]
 
-    def is_particular(self, progress: ItemProgress) -> bool:
+    def has_own_constraints(self, progress: ItemProgress) -> bool:
         """Whether an item may lack a worker that other items of its job would get."""
         is_pinned = progress.route.single_version and bool(progress.versions)
         return bool(progress.stage_failures) or is_pinned or self._policy.count_memory
 
-    def let_versions_go(self, progress: ItemProgress) -> None:
+    def restart_if_version_gone(self, progress: ItemProgress) -> None:
         """Begin a text anew that must be of one version, if no worker has that any more."""
         route, model = progress.route, progress.job.model
         if (
@@ -126,10 +126,10 @@
         outlook = self._outlook
         if progress.stage is Stage.SCORING or not with_room or not outlook.is_uneven(fitting):
             return self._loads.choose(with_room, (), pace_of)
-        full = [one for one in fitting if self._loads.in_hand(one.incarnation) >= one.entry.slots]
+        full = [one for one in fitting if self._loads.in_flight(one.incarnation) >= one.entry.slots]
         chosen = outlook.choose(with_room, full, progress)
         if chosen is not None:
-            self._loads.take(chosen)
+            self._loads.acquire(chosen)
         return chosen
 
     def _moved_target(self, route: Route, progress: ItemProgress) -> Worker | None:
@@ -140,16 +140,16 @@
             for worker in self._fitting(part.service, progress):
                 is_target = worker.incarnation == progress.moved_to
                 if is_target and self._has_room(worker, progress):
-                    self._loads.take(worker)
+                    self._loads.acquire(worker)
                     self._note_begun(worker, progress)
                     return worker
         return None
 
     def _note_begun(self, worker: Worker, progress: ItemProgress) -> None:
         if progress.stage is Stage.GENERATION:
-            self._attempts.refusal_backoff.begun(worker.incarnation, progress.job.model)
+            self._attempts.refusal_backoff.started(worker.incarnation, progress.job.model)
             self._outlook.begun(worker, progress)
-        self._attempts.quarantine.begun(worker.incarnation, progress.item.id)
+        self._attempts.quarantine.started(worker.incarnation, progress.item.id)
 
     def _fitting(self, service: str, progress: ItemProgress) -> list[Worker]:
         """Workers of a service that may run an item now, whether they have room or not.
@@ -187,18 +187,18 @@
         return [worker.incarnation for worker in self._workers.ready(service)]
 
     def _is_passed_over(self, worker: Worker) -> bool:
-        return self._policy.pass_over_failed and self._loads.is_avoided(worker.incarnation)
+        return self._policy.pass_over_failed and self._loads.is_penalized(worker.incarnation)
 
     def _has_room(self, worker: Worker, progress: ItemProgress) -> bool:
         if progress.stage is Stage.GENERATION:
             model = progress.job.model
             refusals = self._attempts.refusal_backoff
             is_guarded = self._policy.guard_refusals
-            if is_guarded and not refusals.may_begin(worker.incarnation, model):
+            if is_guarded and not refusals.may_start(worker.incarnation, model):
                 return False
             if not self._outlook.has_memory(worker, progress):
                 return False
-        return self._loads.in_hand(worker.incarnation) < worker.entry.slots
+        return self._loads.in_flight(worker.incarnation) < worker.entry.slots
 
 
 def score_route(progress: ItemProgress, table: RouteTable) -> Route | None:
