--- a/features/hosted_batches.feature
+++ b/features/hosted_batches.feature
@@ -1,21 +1,21 @@
 Feature: Batch jobs keep what they have shown
-  A job is kept once it is accepted. Each item's first result takes the next position, and nothing
-  that was shown at a position ever changes.
+  An accepted job is durable. The first result of an item takes the next position, and a position
+  never changes.
 
   Scenario: Commands in any order, again and again, and through snapshots
-    Then a batch job's positions never change, and each item stands at one position only
+    Then a batch job's positions never change, and each item has one position
 
   Scenario: Events cut anywhere
-    Then an event stream cut into any pieces gives the same whole events
+    Then an event stream split at any bytes yields the same events
 
   Scenario: Runs of an item that break and overlap
-    Then an item's text is whole, in order and of the versions that made it
+    Then an item's text has no gaps, and lists the weight versions that generated it
 
   Scenario Outline: An item through troubles at the workers
     Given a leader with model workers and scorers
     And <trouble>
     When a job of 6 items in 3 groups is accepted
-    Then every item is listed completed, with its whole text, its versions and its score
+    Then every item has a completed result with its full text, versions and score
 
     Examples:
       | trouble                              |
@@ -30,159 +30,159 @@
   Scenario: A route whose requests are split between services
     Given a leader whose route gives 3 parts to "llm" and 1 part to "llm-next"
     When a job of 40 items in 10 groups is accepted
-    Then every item is listed completed, with its whole text, its versions and its score
+    Then every item has a completed result with its full text, versions and score
     And 30 of the runs went to "llm" and 10 to "llm-next"
 
   Scenario: A service of a split route that has no worker
     Given a leader whose route gives 3 parts to "llm" and 1 part to "llm-none"
     When a job of 6 items in 3 groups is accepted
-    Then every item is listed completed, with its whole text, its versions and its score
+    Then every item has a completed result with its full text, versions and score
 
   Scenario: A worker that loads weights
     Given a leader with model workers and scorers
     And the workers stream slowly
-    And a worker that refuses all runs for a second
+    And a worker that refuses all requests for a second
     When a job of 24 items in 6 groups is accepted
-    Then every item is listed completed, with its whole text, its versions and its score
-    And the worker refused at most 20 runs, and took some after that
+    Then every item has a completed result with its full text, versions and score
+    And the worker refused at most 20 requests, and served some later
 
-  Scenario: A worker is told of to load weights
+  Scenario: A worker announces that it loads weights
     Given a leader with model workers and scorers
     And the workers stream slowly
-    And a worker that refuses all runs for a second, which is told of
+    And a worker that refuses all requests for a second, and announces a weight load
     When a job of 24 items in 6 groups is accepted
-    Then every item is listed completed, with its whole text, its versions and its score
-    And the worker refused no run, and took some after that
+    Then every item has a completed result with its full text, versions and score
+    And the worker refused no request, and served some later
 
-  Scenario: A load that is told of, and refusals, in any order
-    Then nothing is sent while a load is told of, and one run at a time after it until one is taken
+  Scenario: Announced weight loads and refusals in any order
+    Then no request is sent in an announced weight load, then one at a time until one is accepted
 
   Scenario: Runs that are refused, taken, lost and cancelled in any order
-    Then after a refusal one run at a time is sent until the worker takes one
+    Then after a refusal one request at a time is sent until the worker accepts one
 
   Scenario: An item that always fails
     Given a leader with model workers and scorers
     And both model workers fail every request
     When a job of 2 items in 1 groups is accepted
-    Then every item is listed dead after 3 answers of 500
+    Then every item has a dead result after 3 answers of status 500
 
   Scenario: Workers that say they are well and fail everything
     Given a leader with 8 model workers and scorers
     And 3 of the model workers fail every request
     And the workers stream slowly
     When a job of 96 items in 12 groups is accepted
-    Then every item is listed completed, with its whole text, its versions and its score
+    Then every item has a completed result with its full text, versions and score
 
   Scenario: An item that always fails, beside workers that fail everything
     Given a leader with 8 model workers and scorers
     And 3 of the model workers fail every request
     And one item fails at every worker
     When a job of 96 items in 12 groups is accepted
-    Then the item that always fails is listed dead after 3 to 5 answers of 500, and no other one
+    Then only the item that always fails has a dead result, after 3 to 5 answers of status 500
 
   Scenario: A scorer that says it is well and fails everything
     Given a leader with model workers and scorers
     And a scorer fails every request
     When a job of 24 items in 6 groups is accepted
-    Then every item is listed completed, with its whole text, its versions and its score
+    Then every item has a completed result with its full text, versions and score
 
   Scenario: An item that no worker may run now
     Given a leader with model workers and scorers
     And the first item finds no worker since all of them failed it
     When a job of 24 items in 6 groups is accepted
-    Then every other item is listed completed
+    Then every other item has a completed result
 
   Scenario: A text of one version, which no worker has any more
     Given a leader with model workers and scorers
-    Then a text of an older version, on a route that wants one version, begins anew
+    Then a text of an unavailable version, on a single-version route, is restarted
 
   Scenario: Answers of workers in any order
-    Then a worker is set aside only while it fails all and fellows don't, and is tried again
-    And an item is given up for answers of workers that serve others, and never tried too often
+    Then a worker is quarantined only while it fails all requests and others don't, and probed again
+    And an item fails by answers of workers that serve other items, within its maximum of attempts
 
   Scenario: A job that is ended
     Given a leader with model workers and scorers
     And the workers stream slowly
     When a job of 6 items in 3 groups is accepted
     And it is ended while it runs
-    Then nothing of it is running at the workers and no new item begins
-    And no worker is passed over for the runs that were ended
+    Then none of its items is running, and no new one starts
+    And no worker is penalized for the cancelled attempts
 
   Scenario: Items that come again in a later job go on where they were
     Given a leader with model workers and scorers
     And the workers stream slowly
     When a job of 4 items in 2 groups is accepted
-    And it is ended once each item has some events, and its items come again in a later job
-    Then every item of the later job is whole, gone on with behind what was kept
+    And it is ended once each item has some events, and a later job submits its items again
+    Then every item of the later job is complete, resumed from its cached text
 
   Scenario: Items that come again although they are listed are only scored again
     Given a leader with model workers and scorers
     When a job of 4 items in 2 groups is accepted
-    And every item is listed and its items come again in a later job
-    Then every item of the later job is whole, without another run of its text
+    And every item has a result, and a later job submits its items again
+    Then every item of the later job is complete, without another generation
 
   Scenario: Items that come again in a job that wants newer versions begin anew
     Given a leader with model workers and scorers
     When a job of 4 items in 2 groups is accepted
-    And every item is listed and its items come again in a later job that wants version 3
-    Then every item of the later job is whole and of version 3
+    And every item has a result, and a later job with minimum version 3 submits its items again
+    Then every item of the later job is complete and of version 3
 
   Scenario: Parts of texts in any order, again and again, and through snapshots
-    Then the parts that are kept of a text always join, from its first event on
+    Then the checkpoints of a text cover its events from the first one on, without gaps
 
   Scenario: Another leader goes on with texts in the making
     Given a leader with model workers and scorers
     And the workers stream slowly
-    And parts of texts are kept every 0.4 seconds
+    And texts are checkpointed every 0.4 seconds
     When a job of 4 items in 2 groups is accepted
-    And another node leads once a part of each text is kept
-    Then every item is listed completed, with its whole text, its versions and its score
-    And every text went on behind what was kept
+    And another node takes over once each text has a checkpoint
+    Then every item has a completed result with its full text, versions and score
+    And every text resumed from its checkpoints
 
   Scenario Outline: A result goes on behind kept parts, or comes whole where the log lacks them
     Given a leader with model workers and scorers
     And the workers stream slowly
-    And parts of texts are kept every 0.4 seconds
-    And <parts> of them reach the log
+    And texts are checkpointed every 0.4 seconds
+    And <parts> of the checkpoints reach the log
     When a job of 4 items in 2 groups is accepted
-    Then every item is listed completed, with its whole text, its versions and its score
+    Then every item has a completed result with its full text, versions and score
     And the results sent <what>
 
     Examples:
-      | parts | what                          |
-      | all   | only what no kept part had    |
-      | none  | whole texts after a first try |
+      | parts | what                                |
+      | all   | only the text after the checkpoints |
+      | none  | full texts after a first try        |
 
   Scenario: A node that no longer leads
     Given a leader with model workers and scorers
     And the workers stream slowly
     When a job of 6 items in 3 groups is accepted
     And another node leads
-    Then nothing of it is running at the workers and no new item begins
+    Then none of its items is running, and no new one starts
 
   Scenario: Calls of a trainer at a gateway
     Given a gateway before a ledger
-    When a trainer hands in a job
-    Then it is accepted with 202, and again when it comes again
-    And its results are read from any position, its bodies until they are listed
-    And it is ended with 200, as often as that is asked
+    When a trainer submits a job
+    Then it is accepted with 202, and again when it is resubmitted
+    And its results can be read from any position, and the bodies of items without a result
+    And each request to end it is answered with 200
 
   Scenario: A job larger than one command of the ledger
     Given a gateway before a ledger
-    When a trainer hands in a job of 40 items with bodies of 60000 bytes
-    Then it is accepted with 202, and again when it comes again
+    When a trainer submits a job of 40 items with bodies of 60000 bytes
+    Then it is accepted with 202, and again when it is resubmitted
     And the ledger's commands were all small and the job has its 40 items
 
   Scenario: What a gateway has shown it shows again without the ledger
-    Then readings in any order show the ledger's results, and known positions need no ledger
+    Then reads in any order return the ledger's results, and cached positions need no ledger
 
   Scenario: Results come from the replica of the reader's zone, as far as it has them
-    Then readings show what the zone's replica has and what only the leader has, as one list
+    Then reads combine the results of the zone's replica with those that only the leader has
 
   Scenario: Texts are packed between nodes and whole where a client reads them
-    Then any text comes back as it was, also one that an earlier release kept
-    And a page of texts that pack well is no longer than one of others
+    Then every text survives compression, also one stored by an earlier release
+    And a page of highly compressible texts is no larger than others
 
   Scenario: A ledger that does not answer
     Given a gateway before a ledger
-    Then a job is refused with 503 only while it is surely not kept
+    Then a job is refused with 503 only if it was certainly not accepted
--- a/features/hosted_moves.feature
+++ b/features/hosted_moves.feature
@@ -18,14 +18,14 @@
     Given a leader with model workers and scorers
     And the first worker falls silent after 2 events
     When a job of 8 items in 4 groups is accepted
-    Then every item is listed completed, with its whole text, its versions and its score
+    Then every item has a completed result with its full text, versions and score
     And texts of the silent worker went on behind event 2 at the other one
 
   Scenario: A run that is moved stays with its service
     Given a leader whose route gives 3 parts to "llm" and 1 part to "llm-next"
     And the first worker falls silent after 2 events
     When a job of 20 items in 5 groups is accepted
-    Then every item is listed completed, with its whole text, its versions and its score
+    Then every item has a completed result with its full text, versions and score
     And no text of the silent worker went to the other service
 
   Scenario: A worker is much slower than another one
--- a/features/hosted_reading.feature
+++ b/features/hosted_reading.feature
@@ -1,28 +1,28 @@
 Feature: A result that was read comes again, at every gateway
-  A result keeps its position and content. A gateway shows what it knows for sure, says 503 where
-  nobody can tell, and 404 only where there is no such job.
+  A result keeps its position and content. A gateway returns what it is sure of, 503 if no node can
+  tell, and 404 only if there is no such job.
 
   Scenario: Readings from any position, at any gateway, in whatever state the ledger is
-    Then each page is a part of the leader's list, and put off only while nobody knows the position
+    Then pages are slices of the leader's list, and reads deferred only if no node has the position
 
   Scenario: Readings while no leader is found
     Given a job with 3 results, of which the replica of the reader's zone has 2
-    When no leader is found, and each call takes all of its time
-    Then a reading from 0 shows 2 results before its client gives up
-    And a reading from 2 is put off before its client gives up
+    When no leader is found, and each call uses its whole timeout
+    Then a read from 0 returns 2 results before the client's timeout
+    And a read from 2 is deferred before the client's timeout
 
   Scenario: The only replica that is left stands in another zone
     Given a job with 3 results, of which the replica of the reader's zone has 0
     And a replica of another zone that has all of them
-    When no leader is found, and each call takes all of its time
-    Then a reading from 0 shows 3 results before its client gives up
+    When no leader is found, and each call uses its whole timeout
+    Then a read from 0 returns 3 results before the client's timeout
 
   Scenario: Replicas that are behind, removed, wiped or silent are asked one after the other
-    Then a node hears each replica that answers, and none takes more than its share of the time
+    Then each replica that answers is heard, and none uses more than its share of the timeout
 
   Scenario Outline: A page as long as clients allow
     Given a job with 40 results of 20000 <characters>
-    Then each page of it has at most 1000000 bytes, and all of them come
+    Then each page has at most 1000000 bytes, and together they hold all results
 
     Examples:
       | characters  |
@@ -31,23 +31,23 @@
       | ideographs  |
 
   Scenario: A text that is no valid UTF-8
-    Given a job with a text that holds a lone byte
-    Then its page is read, with the byte marked as not valid
+    Given a job with a text that holds an invalid UTF-8 byte
+    Then its page can be read, with a replacement character for the byte
 
   Scenario: Readers whose names and jobs join to the same text
-    Then what one tenant has been shown is not shown to another one
+    Then results that one tenant has read are not shown to another one
 
   Scenario: A job that ends at any place of the log
-    Then what was read before the end is read after it, from snapshots and replays alike
+    Then results read before the end are read after it, from snapshots and from replays
 
   Scenario: The log tells which results were listed, and why others were not
-    Then of results that come twice, late, unknown or without their parts the log tells what became
+    Then the log has the outcome of results that are duplicate, late, unknown or lack checkpoints
 
-  Scenario: Readings that are put off are told and counted
+  Scenario: Deferred reads are logged and counted
     Given a job with 3 results, of which the replica of the reader's zone has 2
-    When no leader is found, and each call takes all of its time
-    And 20 readings from 2 and 5 readings of an unknown job are put off
-    Then the log tells the first one: job, position and what was missing; and 25 are counted
+    When no leader is found, and each call uses its whole timeout
+    And 20 reads from 2 and 5 reads of an unknown job are deferred
+    Then the log tells job, position and cause of the first one, and 25 are counted
 
   Scenario: One data node of three is left, and stands alone
     Given a ledger on three nodes with data folders, and four nodes without
@@ -57,5 +57,5 @@
   Scenario: Bodies of items while no leader is found
     Given a job with 3 results, of which the replica of the reader's zone has 0
     And a replica of another zone that has all of them
-    When no leader is found, and each call takes all of its time
-    Then the body of an item that is not listed is read, and that of another job's item is put off
+    When no leader is found, and each call uses its whole timeout
+    Then the body of an item without a result is read, and that of an unknown item is deferred
--- a/features/hosted_steps.feature
+++ b/features/hosted_steps.feature
@@ -36,5 +36,5 @@
     And the engines have memory for 100 tokens and each item takes 40
     And the workers stream slowly
     When a job of 12 items in 3 groups is accepted
-    Then every item is listed completed, with its whole text, its versions and its score
+    Then every item has a completed result with its full text, versions and score
     And no engine ever had more than 2 items
--- a/features/steps/hosted_batch_calls_steps.py
+++ b/features/steps/hosted_batch_calls_steps.py
@@ -1,4 +1,4 @@
-"""Calls of a trainer about batch jobs at a gateway, before a ledger in memory."""
+"""The batch job API of a gateway, with a ledger in memory."""
 
 import base64
 import json
@@ -67,13 +67,13 @@
     return json.dumps({**fields, "items": items}).encode()
 
 
-@when("a trainer hands in a job")
-def when_handed_in(context):
+@when("a trainer submits a job")
+def when_submitted(context):
     context.sent = job_document()
     context.answer = context.api.accept(call("POST", "/draft/job", context.sent), ROUTE)
 
 
-@when("a trainer hands in a job of {count:d} items with bodies of {size:d} bytes")
+@when("a trainer submits a job of {count:d} items with bodies of {size:d} bytes")
 def when_large(context, count, size):
     context.sent = job_document(count, b"x" * size)
     context.answer = context.api.accept(call("POST", "/draft/job", context.sent), ROUTE)
@@ -87,7 +87,7 @@
     assert context.ledger.machine.staged == {}
 
 
-@then("it is accepted with 202, and again when it comes again")
+@then("it is accepted with 202, and again when it is resubmitted")
 def then_accepted(context):
     assert context.answer.status == 202
     again = context.api.accept(call("POST", "/draft/job", context.sent), ROUTE)
@@ -95,7 +95,7 @@
     assert list(context.ledger.machine.jobs) == ["job"]
 
 
-@then("its results are read from any position, its bodies until they are listed")
+@then("its results can be read from any position, and the bodies of items without a result")
 def then_read(context):
     body_call = call("GET", "/api/items/job", query="id=item-1")
     assert context.api.serve_job_request(body_call).body == b"prompt"
@@ -114,15 +114,15 @@
     assert context.api.serve_job_request(call("GET", "/api/lots/none")).status == 404
 
 
-@then("it is ended with 200, as often as that is asked")
+@then("each request to end it is answered with 200")
 def then_ended(context):
     for _ in range(2):
         assert context.api.serve_job_request(call("DELETE", "/api/lots/job")).status == 200
     assert not context.ledger.machine.jobs["job"].is_open
 
 
-@then("a job is refused with 503 only while it is surely not kept")
-def then_truthful(context):
+@then("a job is refused with 503 only if it was certainly not accepted")
+def then_refused_truthfully(context):
     unavailable, unknown = LedgerErrorKind.UNAVAILABLE, LedgerErrorKind.UNKNOWN
 
     @settings(max_examples=60)
@@ -134,16 +134,16 @@
     )
     def truthful(failures, last):
         ledger = MemoryLedger()
-        # With a last success the outcome is known; otherwise every try fails.
+        # With `last` the final try succeeds; otherwise every try fails.
         ledger.failures = list(failures) if last else list(failures) + [(unavailable, False)] * 9999
         api = BatchApi(ledger, HEADERS, PATHS)
         api.accept_timeout_s = 0.0 if not last else 3.0
         answer = api.accept(call("POST", "/draft/job", job_document()), ROUTE)
-        kept = "job" in ledger.machine.jobs
+        accepted = "job" in ledger.machine.jobs
         if answer.status == 202:
-            assert kept
+            assert accepted
         elif answer.status == 503:
-            assert not kept, "refused although it is kept"
+            assert not accepted, "refused although it was accepted"
         else:
             assert answer.status == 504
 
@@ -154,7 +154,7 @@
     assert machine.jobs == {}
 
 
-@then("readings in any order show the ledger's results, and known positions need no ledger")
+@then("reads in any order return the ledger's results, and cached positions need no ledger")
 def then_cached(context):
     step = st.one_of(
         st.tuples(st.just("list"), st.integers(1, 3)),
@@ -171,10 +171,12 @@
         ledger.submit("", AcceptJob(make_job("job", 12, 1)), 1.0)
         shown = 0
         for what, number in steps:
-            listed = len(ledger.machine.jobs["job"].results)
+            recorded = len(ledger.machine.jobs["job"].results)
             if what == "list":
-                made = [ItemResult(f"job-{at}", True, "t") for at in range(listed, listed + number)]
-                ledger.submit("", RecordResults("job", tuple(made)), 1.0)
+                results = [
+                    ItemResult(f"job-{at}", True, "t") for at in range(recorded, recorded + number)
+                ]
+                ledger.submit("", RecordResults("job", tuple(results)), 1.0)
                 continue
             ledger.leading = what == "read"
             answer = api.serve_job_request(call("GET", "/api/lots/job", query=f"after={number}"))
@@ -187,14 +189,14 @@
             ids = [result["id"] for result in page["results"]]
             assert ids == [f"job-{at}" for at in range(number, number + len(ids))]
             assert page["total"] == 12
-            assert ids or number >= listed, "nothing at a position that has a result"
+            assert ids or number >= recorded, "no result at a recorded position"
             if number <= shown:
                 shown = max(shown, number + len(ids))
 
     cached()
 
 
-@then("readings show what the zone's replica has and what only the leader has, as one list")
+@then("reads combine the results of the zone's replica with those that only the leader has")
 def then_nearby(context):
     step = st.one_of(
         st.tuples(st.sampled_from(("list", "copy")), st.integers(1, 4)),
@@ -208,60 +210,62 @@
         ledger.near = BatchJobs()
         accept = AcceptJob(make_job("job", 12, 1))
         ledger.submit("", accept, 1.0)
-        made = [ItemResult(f"job-{at}", True, "t") for at in range(12)]
-        listed = copied = 0
+        results = [ItemResult(f"job-{at}", True, "t") for at in range(12)]
+        recorded = copied = 0
         for what, number in steps:
             if what == "list":
-                ledger.submit("", RecordResults("job", tuple(made[:number])), 1.0)
-                ledger.submit("", RecordResults("job", tuple(made[: listed + number])), 1.0)
-                listed = len(ledger.machine.jobs["job"].results)
+                ledger.submit("", RecordResults("job", tuple(results[:number])), 1.0)
+                ledger.submit("", RecordResults("job", tuple(results[: recorded + number])), 1.0)
+                recorded = len(ledger.machine.jobs["job"].results)
                 continue
             if what == "copy":
-                copied = min(listed, copied + number)
+                copied = min(recorded, copied + number)
                 ledger.near.apply(accept)
-                ledger.near.apply(RecordResults("job", tuple(made[:copied])))
+                ledger.near.apply(RecordResults("job", tuple(results[:copied])))
                 continue
-            # A gateway that has read nothing yet: its cache would answer for both.
+            # A new gateway, whose cache is empty.
             api = BatchApi(ledger, HEADERS, PATHS)
             ledger.leading, ledger.asked = what == "read", []
             answer = api.serve_job_request(call("GET", "/api/lots/job", query=f"after={number}"))
             ledger.leading = True
             if answer.status == 503:
                 assert what == "outage"
-                assert number >= copied, "nothing while the zone's replica has it"
+                assert number >= copied, "deferred although the zone's replica has it"
                 continue
             page = json.loads(answer.body)
             ids = [result["id"] for result in page["results"]]
-            known = listed if what == "read" else copied
+            known = recorded if what == "read" else copied
             assert ids == [f"job-{at}" for at in range(number, known)]
             assert page["total"] == 12
             for query in ledger.asked:
-                assert query.after >= copied or number >= copied, "bulk asked for twice"
+                assert query.after >= copied or number >= copied, (
+                    "the leader was asked for what the replica has"
+                )
 
     nearby()
 
 
-@then("any text comes back as it was, also one that an earlier release kept")
-def then_packed(context):
+@then("every text survives compression, also one stored by an earlier release")
+def then_compressed(context):
     @settings(max_examples=200)
     @given(text=st.one_of(st.text(), st.text("ab", min_size=100)), cut=st.binary(max_size=3))
-    def packed(text, cut):
-        # What a worker streams need not be text in the strict sense.
+    def compressed(text, cut):
+        # Workers may stream invalid UTF-8.
         text += cut.decode("utf-8", "surrogateescape")
         assert decompress_text(compress_text(text)) == text
         assert ItemResult.from_text("i", True, text, (1,)).full_text == text
         assert ItemResult("i", True, text, (1,)).full_text == text
 
-    packed()
+    compressed()
 
 
-@then("a page of texts that pack well is no longer than one of others")
+@then("a page of highly compressible texts is no larger than others")
 def then_page(context):
     ledger = MemoryLedger()
     api = BatchApi(ledger, HEADERS, PATHS)
     ledger.submit("", AcceptJob(make_job("job", 30, 1)), 1.0)
-    made = tuple(ItemResult.from_text(f"job-{at}", True, "a" * 50_000, (1,)) for at in range(30))
-    ledger.submit("", RecordResults("job", made), 1.0)
+    results = tuple(ItemResult.from_text(f"job-{at}", True, "a" * 50_000, (1,)) for at in range(30))
+    ledger.submit("", RecordResults("job", results), 1.0)
     answer = api.serve_job_request(call("GET", "/api/lots/job", query="after=0"))
     assert len(answer.body) <= PAGE_BYTES + 1_000
     assert json.loads(answer.body)["next"] == 13
--- a/features/steps/hosted_batches_steps.py
+++ b/features/steps/hosted_batches_steps.py
@@ -1,4 +1,4 @@
-"""Batch jobs: the state machine against an oracle, and the coordinator before stand-ins."""
+"""Batch jobs: the state machine against an oracle, the coordinator with stand-in workers."""
 
 import threading
 
@@ -37,7 +37,7 @@
 ROUTE = Route(host=HOST, path_prefix="/draft/", kind=RouteKind.ROLLOUT, max_attempts=3)
 
 
-@then("a batch job's positions never change, and each item stands at one position only")
+@then("a batch job's positions never change, and each item has one position")
 def then_positions(context):
     results = st.lists(st.tuples(st.integers(0, 6), st.integers(0, 99)), min_size=1, max_size=4)
     command = st.one_of(
@@ -88,7 +88,7 @@
     assert shown.keys() <= machine.jobs.keys(), "a job is gone"
 
 
-@then("an event stream cut into any pieces gives the same whole events")
+@then("an event stream split at any bytes yields the same events")
 def then_events(context):
     @settings(max_examples=150)
     @given(
@@ -117,7 +117,7 @@
     events()
 
 
-@then("an item's text is whole, in order and of the versions that made it")
+@then("an item's text has no gaps, and lists the weight versions that generated it")
 def then_text(context):
     run = st.tuples(st.integers(1, 3), st.integers(0, 6), st.integers(-2, 2))
 
@@ -177,13 +177,13 @@
 
 
 @then(
-    "the item that always fails is listed dead after {fewest:d} to {most:d} answers of 500, "
-    "and no other one"
+    "only the item that always fails has a dead result, after {fewest:d} to {most:d} answers of "
+    "status 500"
 )
 def then_only_poison(context, fewest, most):
     wanted = len(context.job.items)
-    context.wait_until(lambda: len(listed(context)) == wanted, "every item listed")
-    dead = {result.item_id for result in listed(context) if not result.is_complete}
+    context.wait_until(lambda: len(results_of(context)) == wanted, "a result of every item")
+    dead = {result.item_id for result in results_of(context) if not result.is_complete}
     assert dead == {ALWAYS_FAILS}, dead
     answers = sum(each.record.ran[ALWAYS_FAILS] for each in context.leader.models)
     assert fewest <= answers <= most, answers
@@ -201,7 +201,7 @@
 @then('{first:d} of the runs went to "llm" and {second:d} to "llm-next"')
 def then_split(context, first, second):
     items = items_by_service(context)
-    # The first turn falls to either by chance. A run that was moved stays with its service.
+    # The first choice is random. A moved attempt stays with its service.
     assert abs(len(items["llm"]) - first) <= 1, items
     assert len(items["llm"]) + len(items["llm-next"]) == first + second, items
 
@@ -221,7 +221,7 @@
     assert not items["llm"] & items["llm-next"], items
 
 
-@given_step("a worker that refuses all runs for a second")
+@given_step("a worker that refuses all requests for a second")
 def given_loading(context):
     context.leader.models[0].refuse_for(1.0)
 
@@ -244,15 +244,15 @@
     choice.acquire_worker = take
 
 
-@then("every other item is listed completed")
+@then("every other item has a completed result")
 def then_others_completed(context):
     others = len(context.job.items) - 1
-    context.wait_until(lambda: len(listed(context)) == others, "the other items listed")
+    context.wait_until(lambda: len(results_of(context)) == others, "results of the other items")
     assert len(context.unplaced) == 1
-    assert all(result.is_complete for result in listed(context))
+    assert all(result.is_complete for result in results_of(context))
 
 
-@then("a text of an older version, on a route that wants one version, begins anew")
+@then("a text of an unavailable version, on a single-version route, is restarted")
 def then_begins_anew(context):
     job = make_job("job", 1, 1, minimum_version=1)
     route = msgspec.convert(
@@ -268,27 +268,27 @@
     assert choice.acquire_worker(progress, table) is not None
 
 
-@given_step("a worker that refuses all runs for a second, which is told of")
-def given_told_load(context):
+@given_step("a worker that refuses all requests for a second, and announces a weight load")
+def given_announced_load(context):
     worker = context.leader.models[0]
-    told = context.leader.coordinator._attempts.refusal_backoff.on_load_update
-    # Told of for longer than it lasts, so that only the word of its end brings the runs.
-    told(worker.incarnation, MODEL, 4.0)
+    announce = context.leader.coordinator._attempts.refusal_backoff.on_load_update
+    # Announced for longer than it lasts, so that only the announced end admits requests.
+    announce(worker.incarnation, MODEL, 4.0)
     worker.refuse_for(1.0)
-    ended = threading.Timer(1.1, told, (worker.incarnation, MODEL, 0.0))
+    ended = threading.Timer(1.1, announce, (worker.incarnation, MODEL, 0.0))
     context.cleanup.callback(ended.cancel)
     ended.start()
 
 
-@then("the worker refused no run, and took some after that")
+@then("the worker refused no request, and served some later")
 def then_refused_none(context):
     record = context.leader.models[0].record
     assert record.refusals == 0, record.refusals
     assert sum(record.ran.values()) > 0
 
 
-@then("nothing is sent while a load is told of, and one run at a time after it until one is taken")
-def then_left_alone(context):
+@then("no request is sent in an announced weight load, then one at a time until one is accepted")
+def then_no_requests_in_load(context):
     step = st.one_of(
         st.tuples(st.just("load"), st.floats(0.01, 9.0)),
         st.tuples(st.just("load_ended"), st.just(0.0)),
@@ -298,7 +298,7 @@
 
     @settings(max_examples=300)
     @given(steps=st.lists(step, max_size=30))
-    def left_alone(steps):
+    def no_requests_in_load(steps):
         now_s, closed_until_s, is_open = 0.0, 0.0, True
         guard = RefusalBackoff(lambda: now_s)
         worker = Incarnation("i", 7)
@@ -323,18 +323,18 @@
             guard.accepted(worker, "m")
             assert guard.may_start(worker, "m")
 
-    left_alone()
+    no_requests_in_load()
 
 
-@then("the worker refused at most {most:d} runs, and took some after that")
+@then("the worker refused at most {most:d} requests, and served some later")
 def then_few_refusals(context, most):
-    # One for each of its 8 slots at first, then one at a time.
+    # One for each of its 8 slots at first, then single probes.
     record = context.leader.models[0].record
     assert 0 < record.refusals <= most, record.refusals
     assert sum(record.ran.values()) > 0
 
 
-@then("after a refusal one run at a time is sent until the worker takes one")
+@then("after a refusal one request at a time is sent until the worker accepts one")
 def then_one_at_a_time(context):
     ending = st.sampled_from(("accepted", "refused", "ended"))
 
@@ -344,18 +344,18 @@
         now_s = [0.0]
         guard = RefusalBackoff(lambda: now_s[0])
         worker = Incarnation("i")
-        refused_s, begun, ended, in_hand = None, 0, 0, 0
+        refused_s, begun, ended, in_flight = None, 0, 0, 0
         for begins, how, passed_s in steps:
             now_s[0] += passed_s
             if begins and guard.may_start(worker, "m"):
                 guard.started(worker, "m")
-                in_hand += 1
+                in_flight += 1
                 if refused_s is not None:
                     assert now_s[0] >= refused_s + PAUSE_S
-                    assert begun <= ended, "a second run beside one that is not answered"
+                    assert begun <= ended, "a second request while one is unanswered"
                     begun += 1
-            elif in_hand and not begins:
-                in_hand -= 1
+            elif in_flight and not begins:
+                in_flight -= 1
                 getattr(guard, how)(worker, "m")
                 ended += how == "ended"
                 if how != "ended":
@@ -366,76 +366,80 @@
     one_at_a_time()
 
 
-FELLOWS = tuple(Incarnation(f"i-{number}") for number in range(4))
+SERVICE_WORKERS = tuple(Incarnation(f"i-{number}") for number in range(4))
 
 
-@then("a worker is set aside only while it fails all and fellows don't, and is tried again")
-def then_set_aside(context):
+@then("a worker is quarantined only while it fails all requests and others don't, and probed again")
+def then_quarantined(context):
     answer = st.tuples(
-        st.sampled_from(FELLOWS), st.booleans(), st.integers(0, 5), st.floats(0.0, 1.0)
+        st.sampled_from(SERVICE_WORKERS), st.booleans(), st.integers(0, 5), st.floats(0.0, 1.0)
     )
 
     @settings(max_examples=300)
     @given(answers=st.lists(answer, max_size=40))
-    def set_aside(answers):
+    def quarantined(answers):
         now_s = 0.0
-        failing = WorkerQuarantine(lambda: now_s)
-        failed = {worker: [] for worker in FELLOWS}
+        quarantine = WorkerQuarantine(lambda: now_s)
+        failed = {worker: [] for worker in SERVICE_WORKERS}
         for worker, serves, number, passed_s in answers:
             now_s += passed_s + 0.001
             if serves:
-                failing.succeeded(worker, now_s)
+                quarantine.succeeded(worker, now_s)
                 failed[worker] = []
             else:
-                failing.started(worker, f"item-{number}")
-                failing.failed(worker, f"item-{number}")
-                failing.ended(worker, f"item-{number}")
+                quarantine.started(worker, f"item-{number}")
+                quarantine.failed(worker, f"item-{number}")
+                quarantine.ended(worker, f"item-{number}")
                 failed[worker].append(number)
-            closed = [one for one in FELLOWS if not failing.may_start(one, FELLOWS)]
-            assert len(closed) <= len(FELLOWS) / 2
+            closed = [
+                one for one in SERVICE_WORKERS if not quarantine.may_start(one, SERVICE_WORKERS)
+            ]
+            assert len(closed) <= len(SERVICE_WORKERS) / 2
             for one in closed:
-                assert len(set(failed[one])) >= 2, "closed for one item or none"
+                assert len(set(failed[one])) >= 2, "quarantined for fewer than two items"
         now_s += LONGEST_PAUSE_S
-        for one in FELLOWS:
-            assert failing.may_start(one, FELLOWS), "not tried again"
-            failing.started(one, "trial")
-            if one in failing.failing_workers(FELLOWS) and not failing.may_start(one, FELLOWS):
-                failing.ended(one, "trial")
-                assert failing.may_start(one, FELLOWS)
-            failing.succeeded(one, now_s)
-            assert failing.may_start(one, FELLOWS)
-
-    set_aside()
-
-
-@then("an item is given up for answers of workers that serve others, and never tried too often")
-def then_given_up(context):
+        for one in SERVICE_WORKERS:
+            assert quarantine.may_start(one, SERVICE_WORKERS), "not probed again"
+            quarantine.started(one, "trial")
+            if one in quarantine.failing_workers(SERVICE_WORKERS) and not quarantine.may_start(
+                one, SERVICE_WORKERS
+            ):
+                quarantine.ended(one, "trial")
+                assert quarantine.may_start(one, SERVICE_WORKERS)
+            quarantine.succeeded(one, now_s)
+            assert quarantine.may_start(one, SERVICE_WORKERS)
+
+    quarantined()
+
+
+@then("an item fails by answers of workers that serve other items, within its maximum of attempts")
+def then_failed_item(context):
     @settings(max_examples=200)
     @given(
         allowed=st.integers(1, 4),
         broken=st.integers(0, 2),
         workers=st.lists(st.integers(0, 5), max_size=16),
     )
-    def given_up(allowed, broken, workers):
+    def failed_item(allowed, broken, workers):
         now_s = 0.0
-        failing = WorkerQuarantine(lambda: now_s)
-        fellows = [Incarnation(f"i-{number}") for number in range(6)]
-        for worker in fellows[:broken]:
-            failing.failed(worker, "another")
-            failing.failed(worker, "a third")
-        failed_at = []
+        quarantine = WorkerQuarantine(lambda: now_s)
+        service_workers = [Incarnation(f"i-{number}") for number in range(6)]
+        for worker in service_workers[:broken]:
+            quarantine.failed(worker, "another")
+            quarantine.failed(worker, "a third")
+        failures = []
         for number in workers:
-            is_exhausted = failing.has_exhausted_retries(failed_at, allowed, fellows)
-            sound = sum(worker in fellows[broken:] for worker in failed_at)
+            is_exhausted = quarantine.has_exhausted_retries(failures, allowed, service_workers)
+            counted = sum(worker in service_workers[broken:] for worker in failures)
             assert is_exhausted == (
-                sound >= allowed or len(failed_at) >= max_server_errors(allowed)
+                counted >= allowed or len(failures) >= max_server_errors(allowed)
             )
             now_s += 0.1
-            failed_at.append(fellows[number])
-        # The first leader may end just before it gives the item up.
+            failures.append(service_workers[number])
+        # A leader may lose the lead just before the item fails.
         assert max_server_errors(allowed) - 1 + max_server_errors(allowed) <= 3 * allowed
 
-    given_up()
+    failed_item()
 
 
 @given_step("no trouble")
@@ -470,7 +474,7 @@
 
 @given_step("a worker whose weights are too old")
 def given_old(context):
-    # Its entry still shows the version that it had before.
+    # Its entry still shows its former version.
     context.leader.models[0].version = 1
 
 
@@ -492,26 +496,26 @@
     context.leader.ledger.submit("", AcceptJob(context.job), 1.0)
 
 
-def listed(context):
+def results_of(context):
     return context.leader.ledger.machine.jobs["job"].results
 
 
-@then("every item is listed completed, with its whole text, its versions and its score")
+@then("every item has a completed result with its full text, versions and score")
 def then_completed(context):
     wanted = len(context.job.items)
-    context.wait_until(lambda: len(listed(context)) == wanted, "every item listed")
-    for result in listed(context):
+    context.wait_until(lambda: len(results_of(context)) == wanted, "a result of every item")
+    for result in results_of(context):
         assert result.is_complete
         assert result.full_text == text_of(result.item_id, EVENTS)
         assert result.versions == (2,)
         assert result.score == stamp_of(f"score-{result.item_id}")
 
 
-@then("every item is listed dead after 3 answers of 500")
+@then("every item has a dead result after 3 answers of status 500")
 def then_dead(context):
     wanted = len(context.job.items)
-    context.wait_until(lambda: len(listed(context)) == wanted, "every item listed")
-    assert not any(result.is_complete for result in listed(context))
+    context.wait_until(lambda: len(results_of(context)) == wanted, "a result of every item")
+    assert not any(result.is_complete for result in results_of(context))
     for item in context.job.items:
         assert sum(each.record.ran[item.id] for each in context.leader.models) == 3
 
@@ -532,7 +536,7 @@
     context.leader.ledger.leading = False
 
 
-@then("nothing of it is running at the workers and no new item begins")
+@then("none of its items is running, and no new one starts")
 def then_nothing_runs(context):
     coordinator = context.leader.coordinator
     context.wait_until(lambda: not coordinator._running, "all attempts ended", 2.0)
@@ -543,7 +547,7 @@
     assert begun(context) == before
 
 
-@then("no worker is passed over for the runs that were ended")
+@then("no worker is penalized for the cancelled attempts")
 def then_not_avoided(context):
     loads = context.leader.coordinator._loads
     for worker in context.leader.models:
@@ -551,38 +555,41 @@
         assert loads._load(worker.incarnation).failures == 0, worker.instance
 
 
-def come_again(context, minimum_version=2):
+def resubmit(context, minimum_version=2):
     again = msgspec.structs.replace(context.job, id="again", minimum_version=minimum_version)
     context.leader.ledger.submit("", AcceptJob(again), 1.0)
 
 
-@when("it is ended once each item has some events, and its items come again in a later job")
-def when_again(context):
+@when("it is ended once each item has some events, and a later job submits its items again")
+def when_ended_again(context):
     progress = context.leader.coordinator._progress
 
-    def begun_all():
+    def all_started():
         found = list(progress.values())
         return len(found) == 4 and all(len(each.pieces) >= 2 for each in found)
 
-    context.wait_until(begun_all, "two events of each item")
+    context.wait_until(all_started, "two events of each item")
     context.leader.ledger.submit("", EndJob("job", 2.0), 1.0)
     context.wait_until(lambda: not context.leader.coordinator._running, "all attempts ended")
-    come_again(context)
+    resubmit(context)
 
 
-@when("every item is listed and its items come again in a later job")
+@when("every item has a result, and a later job submits its items again")
 def when_listed_again(context):
     then_completed(context)
-    come_again(context)
+    resubmit(context)
 
 
-@when("every item is listed and its items come again in a later job that wants version {version:d}")
+@when(
+    "every item has a result, and a later job with minimum version {version:d} submits its items "
+    "again"
+)
 def when_listed_again_newer(context, version):
     then_completed(context)
     for worker in context.leader.models:
         worker.version = version
     context.leader.show()
-    come_again(context, version)
+    resubmit(context, version)
 
 
 def results_again(context):
@@ -596,8 +603,8 @@
     return jobs["again"].results
 
 
-@then("every item of the later job is whole, gone on with behind what was kept")
-def then_gone_on(context):
+@then("every item of the later job is complete, resumed from its cached text")
+def then_resumed_cached(context):
     for result in results_again(context):
         assert result.versions == (2,)
     after = {}
@@ -607,20 +614,20 @@
     assert min(after.values()) >= 2, after
 
 
-@then("every item of the later job is whole, without another run of its text")
+@then("every item of the later job is complete, without another generation")
 def then_only_scored(context):
     for result in results_again(context):
         assert sum(each.record.ran[result.item_id] for each in context.leader.models) == 1
 
 
-@then("every item of the later job is whole and of version {version:d}")
+@then("every item of the later job is complete and of version {version:d}")
 def then_newer(context, version):
     for result in results_again(context):
         assert result.versions == (version,)
 
 
-@then("the parts that are kept of a text always join, from its first event on")
-def then_parts_join(context):
+@then("the checkpoints of a text cover its events from the first one on, without gaps")
+def then_checkpoints_join(context):
     part = st.tuples(st.integers(0, 1), st.integers(0, 8), st.integers(1, 4))
     step = st.one_of(
         st.tuples(st.just("keep"), part),
@@ -644,7 +651,7 @@
                 machine.apply(KeepParts("job", (made,)))
                 chain = chains[item]
                 if chain is not None and is_open:
-                    # The oracle keeps events one by one, with the ends of the parts.
+                    # The oracle holds single events and the ends of checkpoints.
                     ends = [0, *(end for end, _ in chain)]
                     if after in ends:
                         kept = [one for one in chain if one[0] <= after]
@@ -674,34 +681,35 @@
     join()
 
 
-@given_step("parts of texts are kept every {seconds:g} seconds")
-def given_parts(context, seconds):
+@given_step("texts are checkpointed every {seconds:g} seconds")
+def given_checkpoints(context, seconds):
     context.leader.coordinator._attempts.checkpoint_interval_s = seconds
 
 
-@when("another node leads once a part of each text is kept")
-def when_parts(context):
+@when("another node takes over once each text has a checkpoint")
+def when_checkpointed(context):
     state = context.leader.ledger.machine.jobs["job"]
     wanted = len(context.job.items)
 
-    def are_kept():
-        # A text that has its part must not end while another one still waits for its own; a
-        # worker with shorter pauses than six usual ones is not silent.
+    def are_checkpointed():
+        # A text with a checkpoint must not end while another one waits for its own; a pause below
+        # six typical ones is not taken for a silent worker.
         if state.checkpoints:
             _set_pauses(context, 1.2)
         return len(state.checkpoints) == wanted
 
-    context.wait_until(are_kept, "a part of each text")
+    context.wait_until(are_checkpointed, "a checkpoint of each text")
     context.leader.ledger.leading = False
     coordinator = context.leader.coordinator
-    # The coordinator forgets everything when it leaves, so it comes back as another one would. Its
-    # runs may end by themselves before it has seen that it leads no more.
+    # The coordinator drops its state when it steps down, so it resumes as another one would. Its
+    # attempts may end before it notices that it no longer leads.
     context.wait_until(
         lambda: not coordinator._running and not coordinator._progress,
-        "the former leader's runs ended and forgotten",
+        "the former leader's attempts ended and dropped",
     )
-    context.kept = {
-        item_id: sum(part.events for part in parts) for item_id, parts in state.checkpoints.items()
+    context.checkpointed = {
+        item_id: sum(each.events for each in checkpoints)
+        for item_id, checkpoints in state.checkpoints.items()
     }
     for worker in context.leader.models:
         worker.record.resumed_after.clear()
@@ -714,16 +722,16 @@
         worker.event_pause_s = seconds
 
 
-@then("every text went on behind what was kept")
-def then_went_on(context):
+@then("every text resumed from its checkpoints")
+def then_resumed(context):
     after = {}
     for worker in context.leader.models:
         after |= worker.record.resumed_after
-    assert after == context.kept, (after, context.kept)
-    assert min(context.kept.values()) > 0
+    assert after == context.checkpointed, (after, context.checkpointed)
+    assert min(context.checkpointed.values()) > 0
 
 
-@given_step("{parts} of them reach the log")
+@given_step("{parts} of the checkpoints reach the log")
 def given_reach(context, parts):
     ledger = context.leader.ledger
     ledger.drops = (KeepParts,) if parts == "none" else ()
@@ -738,20 +746,20 @@
     ledger.submit = noted
 
 
-@then("the results sent only what no kept part had")
+@then("the results sent only the text after the checkpoints")
 def then_tails(context):
     assert len(context.sent) == len(context.job.items)
     for result in context.sent:
         assert 0 < result.checkpointed_events <= EVENTS
-        found = next(each for each in listed(context) if each.item_id == result.item_id)
+        found = next(each for each in results_of(context) if each.item_id == result.item_id)
         assert len(found.compressed_checkpoints) >= 1
         assert found.checkpointed_events == 0
 
 
-@then("the results sent whole texts after a first try")
-def then_whole_texts(context):
+@then("the results sent full texts after a first try")
+def then_full_texts(context):
     for item in context.job.items:
         tries = [result.checkpointed_events for result in context.sent if result.item_id == item.id]
-        assert tries[0] > 0, "the first try counted on its parts"
+        assert tries[0] > 0, "the first try did not rely on checkpoints"
         assert tries[-1] == 0
         assert tries.count(0) >= 1
--- a/features/steps/hosted_reading_steps.py
+++ b/features/steps/hosted_reading_steps.py
@@ -1,4 +1,4 @@
-"""Readings of results at gateways, whatever the ledger's leader and replicas have."""
+"""Reads of results at gateways, in any state of the ledger's leader and replicas."""
 
 import io
 import itertools
@@ -49,8 +49,8 @@
 from bellweir.wire.interface import WireError, WireErrorKind
 from bellweir_platform.headers import HEADERS, PATHS
 
-CLIENT_PATIENCE_S = 1.5
-"""Time for which a client waits beyond what it allows a reading to be held."""
+CLIENT_TIMEOUT_S = 1.5
+"""Client timeout beyond the requested hold time."""
 PAGE_LIMIT_BYTES = 1_000_000
 ITEMS = 12
 GATEWAYS = 3
@@ -69,7 +69,7 @@
 
 
 def accept_commands(job_id):
-    """Commands that accept a job; the owned one comes in two parts."""
+    """Return the commands that accept a job; the owned one is staged in two parts."""
     job = msgspec.structs.replace(make_job(job_id, ITEMS, 1), tenant=OWNERS[job_id])
     if job_id != "owned":
         return [AcceptJob(job)]
@@ -80,8 +80,8 @@
     return [*staged, AcceptJob(msgspec.structs.replace(job, items=()), 2)]
 
 
-class Readings:
-    """Gateways before one ledger, with a model of what each job lists."""
+class ReadModel:
+    """Gateways of one ledger, with a model of each job's results."""
 
     def __init__(self, cache_bytes):
         self.cache_bytes = cache_bytes
@@ -90,39 +90,39 @@
         self.apis = [BatchApi(ledger, HEADERS, PATHS) for ledger in self.ledgers]
         for api in self.apis:
             api._cache = ResultCache(cache_bytes)
-        self.listed = {}
+        self.recorded = {}
         self.ended = set()
         self.shown = {}
-        """Positions from 0 on that a gateway has shown to a tenant without a gap."""
-        self.pages = self.put_off = 0
+        """Number of results that a gateway has shown to a tenant, from position 0 without a gap."""
+        self.pages = self.deferred = 0
         self.accept("job")
         self.record("job", ("short", "none", "short", "short"))
 
     def accept(self, job_id):
-        if job_id not in self.listed:
+        if job_id not in self.recorded:
             for command in accept_commands(job_id):
                 self.ledgers[0].submit("", command, 1.0)
-            self.listed[job_id] = []
+            self.recorded[job_id] = []
 
     def record(self, job_id, texts):
-        if job_id not in self.listed:
+        if job_id not in self.recorded:
             return
-        known = self.listed[job_id]
-        made = [
+        known = self.recorded[job_id]
+        results = [
             ItemResult.from_text(f"{job_id}-{at}", True, TEXTS[text], (at,))
             for at, text in enumerate(texts, len(known))
             if at < ITEMS
         ]
-        # What comes again changes nothing.
+        # A duplicate changes nothing.
         again = [ItemResult.from_text(f"{job_id}-0", True, "other", (9,))] if known else []
-        self.ledgers[0].submit("", RecordResults(job_id, (*again, *made)), 1.0)
+        self.ledgers[0].submit("", RecordResults(job_id, (*again, *results)), 1.0)
         if job_id not in self.ended:
-            known.extend(made)
+            known.extend(results)
 
     def end(self, job_id):
         tenant = OWNERS[job_id]
         self.ledgers[0].submit("", EndJob(job_id, 5.0, tenant), 1.0)
-        if job_id in self.listed:
+        if job_id in self.recorded:
             self.ended.add(job_id)
 
     def disturb(self, what, number):
@@ -142,31 +142,31 @@
 
     def read(self, gateway, job_id, after, tenant):
         answer = read(self.apis[gateway], job_id, after, tenant)
-        is_shown = job_id in self.listed and OWNERS[job_id] in ("", tenant)
+        is_shown = job_id in self.recorded and OWNERS[job_id] in ("", tenant)
         leads = self.ledgers[0].leader["kind"] is None
         if answer.status == 404:
-            assert leads, "said not to be there while the leader does not answer"
-            assert not is_shown, "an accepted job is said not to be there"
+            assert leads, "404 while the leader does not answer"
+            assert not is_shown, "404 for an accepted job"
         elif answer.status == 503:
-            assert not leads, "put off although the leader answers"
+            assert not leads, "deferred although the leader answers"
             assert not (is_shown and self._is_known(gateway, job_id, after, tenant)), (
-                "put off although somebody knows the position"
+                "deferred although a node has the position"
             )
-            self.put_off += 1
+            self.deferred += 1
         else:
             assert answer.status == 200
             assert is_shown
             self._check_page(answer.body, gateway, job_id, after, tenant)
 
     def _check_page(self, body, gateway, job_id, after, tenant):
-        page, listed = json.loads(body), self.listed[job_id]
-        expected = listed[after : after + len(page["results"])]
+        page, recorded = json.loads(body), self.recorded[job_id]
+        expected = recorded[after : after + len(page["results"])]
         assert page["total"] == ITEMS
         assert page["next"] == after + len(page["results"])
         assert [(one["id"], one["text"]) for one in page["results"]] == [
             (one.item_id, one.full_text) for one in expected
         ]
-        assert page["results"] or after >= len(listed), "a position that has a result is empty"
+        assert page["results"] or after >= len(recorded), "no result at a recorded position"
         assert len(body) <= PAGE_LIMIT_BYTES or len(page["results"]) == 1
         key = (gateway, job_id, tenant)
         if after <= self.shown.get(key, 0):
@@ -188,12 +188,12 @@
 
 
 jobs = st.sampled_from(sorted(OWNERS))
-DISTURBANCES = ("copy", "copy", "remove", "silence", "wipe", "restart", "leader", "leader")
+FAULTS = ("copy", "copy", "remove", "silence", "wipe", "restart", "leader", "leader")
 step = st.one_of(
     st.tuples(st.just("accept"), jobs),
     st.tuples(st.just("record"), jobs, st.lists(st.sampled_from(sorted(TEXTS)), max_size=5)),
     st.tuples(st.just("end"), jobs),
-    st.tuples(st.just("disturb"), st.sampled_from(DISTURBANCES), st.integers(0, 8)),
+    st.tuples(st.just("disturb"), st.sampled_from(FAULTS), st.integers(0, 8)),
     *[
         st.tuples(
             st.just("read"),
@@ -207,9 +207,9 @@
 )
 
 
-@then("each page is a part of the leader's list, and put off only while nobody knows the position")
+@then("pages are slices of the leader's list, and reads deferred only if no node has the position")
 def then_readings(context):
-    seen = SimpleNamespace(pages=0, put_off=0)
+    seen = SimpleNamespace(pages=0, deferred=0)
 
     @settings(max_examples=200)
     @given(
@@ -217,24 +217,24 @@
         cache_bytes=st.sampled_from((0, 700, 3_000, 1 << 24)),
     )
     def readings(steps, cache_bytes):
-        all_readings = Readings(cache_bytes)
+        model = ReadModel(cache_bytes)
         for what, *values in steps:
-            getattr(all_readings, what)(*values)
-        all_readings.disturb("leader", 0)
+            getattr(model, what)(*values)
+        model.disturb("leader", 0)
         for gateway in range(GATEWAYS):
-            _read_whole(all_readings, gateway)
-        seen.pages += all_readings.pages
-        seen.put_off += all_readings.put_off
+            _read_whole(model, gateway)
+        seen.pages += model.pages
+        seen.deferred += model.deferred
 
     readings()
     assert seen.pages > 1_000, seen
-    assert seen.put_off > 20, seen
+    assert seen.deferred > 20, seen
 
 
 def _read_whole(readings, gateway):
-    """Read a job from its start to the end of what the leader lists."""
+    """Read all results that the leader has, from the first one on."""
     at = 0
-    while at < len(readings.listed["job"]):
+    while at < len(readings.recorded["job"]):
         answer = read(readings.apis[gateway], "job", at)
         readings._check_page(answer.body, gateway, "job", at, "")
         at = json.loads(answer.body)["next"]
@@ -257,21 +257,21 @@
     context.ledger.replicas[2].copy(context.ledger.log, 100)
 
 
-@when("no leader is found, and each call takes all of its time")
+@when("no leader is found, and each call uses its whole timeout")
 def when_no_leader(context):
     context.ledger.leader["kind"] = NO_LEADER
 
 
 def _read_in_time(context, after):
-    """Read; the times of all calls that may take all of it are within the client's patience."""
+    """Read; check that all calls fit into the client's timeout, if each uses its own up."""
     context.ledger.waits_s.clear()
     answer = read(context.api, "job", after)
-    # The replica of the zone may take all of its time and answer nevertheless.
-    assert sum(context.ledger.waits_s) + 0.15 < CLIENT_PATIENCE_S, context.ledger.waits_s
+    # The replica of the zone may answer just before its timeout.
+    assert sum(context.ledger.waits_s) + 0.15 < CLIENT_TIMEOUT_S, context.ledger.waits_s
     return answer
 
 
-@then("a reading from {after:d} shows {count:d} results before its client gives up")
+@then("a read from {after:d} returns {count:d} results before the client's timeout")
 def then_in_time(context, after, count):
     answer = _read_in_time(context, after)
     assert answer.status == 200, answer.status
@@ -282,13 +282,13 @@
     assert (page["total"], page["next"]) == (ITEMS, after + count)
 
 
-@then("a reading from {after:d} is put off before its client gives up")
-def then_put_off(context, after):
+@then("a read from {after:d} is deferred before the client's timeout")
+def then_deferred(context, after):
     assert _read_in_time(context, after).status == 503
 
 
 class ScriptedPeers:
-    """Transport, membership, locator: each replica answers, is silent, or holds nothing."""
+    """Transport, membership and locator: a replica answers, is silent or is empty."""
 
     def __init__(self, replicas, zones):
         self.codec = Codec([BatchJobs])
@@ -313,7 +313,7 @@
         return list(self.replicas)
 
 
-@then("a node hears each replica that answers, and none takes more than its share of the time")
+@then("each replica that answers is heard, and none uses more than its share of the timeout")
 def then_replicas_asked(context):
     kinds = st.sampled_from(("behind", "whole", "removed", "wiped", "silent"))
 
@@ -350,12 +350,14 @@
     context.api = BatchApi(context.ledger, HEADERS, PATHS)
     context.long_text = CHARACTERS[characters] * length
     context.ledger.submit("", AcceptJob(make_job("job", count, 1)), 1.0)
-    made = [ItemResult.from_text(f"job-{at}", True, context.long_text, (1,)) for at in range(count)]
-    context.ledger.submit("", RecordResults("job", tuple(made)), 1.0)
+    results = [
+        ItemResult.from_text(f"job-{at}", True, context.long_text, (1,)) for at in range(count)
+    ]
+    context.ledger.submit("", RecordResults("job", tuple(results)), 1.0)
     context.count = count
 
 
-@then("each page of it has at most {limit:d} bytes, and all of them come")
+@then("each page has at most {limit:d} bytes, and together they hold all results")
 def then_bounded(context, limit):
     at = 0
     while at < context.count:
@@ -370,23 +372,23 @@
         at = page["next"]
 
 
-@given_step("a job with a text that holds a lone byte")
+@given_step("a job with a text that holds an invalid UTF-8 byte")
 def given_lone_byte(context):
     context.ledger = ReplicatedLedger()
     context.api = BatchApi(context.ledger, HEADERS, PATHS)
     context.ledger.submit("", AcceptJob(make_job("job", 2, 1)), 1.0)
     text = b"a\x80\nb".decode("utf-8", "surrogateescape")
-    made = ItemResult.from_text("job-0", True, text, (1,))
-    context.ledger.submit("", RecordResults("job", (made,)), 1.0)
+    result = ItemResult.from_text("job-0", True, text, (1,))
+    context.ledger.submit("", RecordResults("job", (result,)), 1.0)
 
 
-@then("its page is read, with the byte marked as not valid")
+@then("its page can be read, with a replacement character for the byte")
 def then_marked(context):
     page = json.loads(read(context.api, "job", 0).body)
     assert [one["text"] for one in page["results"]] == ["a\ufffd\nb"]
 
 
-@then("what one tenant has been shown is not shown to another one")
+@then("results that one tenant has read are not shown to another one")
 def then_apart(context):
     ledger = ReplicatedLedger()
     api = BatchApi(ledger, HEADERS, PATHS)
@@ -397,7 +399,7 @@
     assert read(api, "job", 0, "a/b").status == 404
 
 
-@then("what was read before the end is read after it, from snapshots and replays alike")
+@then("results read before the end are read after it, from snapshots and from replays")
 def then_ended(context):
     whats = st.sampled_from(("keep", "keep", "keep", "again", "record", "record", "whole", "end"))
     steps_of = st.lists(st.tuples(whats, st.integers(0, 3)), min_size=5, max_size=25)
@@ -427,18 +429,18 @@
         seen.ended += bool(pages[-1]) and not replica.jobs["job"].is_open
 
     ended()
-    assert seen.joined > 50, "too few results that go on behind kept parts"
-    assert seen.ended > 20, "too few jobs that ended with something listed"
+    assert seen.joined > 50, "too few results with checkpoints"
+    assert seen.ended > 20, "too few jobs that ended with results"
 
 
 def _commands(steps):
-    """Commands of a job of four items, whose texts are kept part by part before their results."""
+    """Return commands that checkpoint texts of four items, and record their results."""
     commands = [AcceptJob(make_job("job", 4, 1))]
     kept = dict.fromkeys(range(4), 0)
     for what, item in steps:
         item_id = f"job-{item}"
         if what in ("keep", "again"):
-            # A new leader may keep the newest part once more.
+            # A new leader may repeat the newest checkpoint.
             after = kept[item] if what == "keep" else max(0, kept[item] - 1)
             packed = compress_text(f"kept {item} {after}")
             commands.append(
@@ -479,8 +481,8 @@
     return [line for line in lines if line["event"] == event]
 
 
-@then("of results that come twice, late, unknown or without their parts the log tells what became")
-def then_told(context):
+@then("the log has the outcome of results that are duplicate, late, unknown or lack checkpoints")
+def then_logged(context):
     log = _captured_log(context)
     ledger = ReplicatedLedger()
     committer = Committer(ledger, lambda: True)
@@ -500,15 +502,17 @@
     commit(0, 1)
     commit(1, 8)
     commit(2, behind=3)
-    # The command takes effect, but its outcome is not known: it is sent again.
+    # The command is applied, but its outcome is unknown, so it is retried.
     ledger.failures = [(NO_OUTCOME, True)]
     commit(3)
     ledger.submit("", EndJob("job", 5.0), 1.0)
     commit(0)
     commit(0, job_id="gone")
-    listed = [(line["request_id"], line["cause"]) for line in _lines(log, "item_listed")]
+    recorded = [(line["request_id"], line["cause"]) for line in _lines(log, "item_listed")]
     unsure = "listed before, perhaps by a try without an outcome"
-    assert listed == [("job-0", None), ("job-1", None), ("job-2", None), ("job-3", unsure)], listed
+    assert recorded == [("job-0", None), ("job-1", None), ("job-2", None), ("job-3", unsure)], (
+        recorded
+    )
     dropped = [
         (line["job"], line["request_id"], line["cause"]) for line in _lines(log, "item_not_listed")
     ]
@@ -522,8 +526,8 @@
     assert (old.count, old.dropped) == (2, {})
 
 
-@when("{known:d} readings from {after:d} and {unknown:d} readings of an unknown job are put off")
-def when_put_off(context, known, after, unknown):
+@when("{known:d} reads from {after:d} and {unknown:d} reads of an unknown job are deferred")
+def when_deferred(context, known, after, unknown):
     context.log = _captured_log(context)
     counted = context.counted = []
     context.api = BatchApi(context.ledger, HEADERS, PATHS, count_deferred=counted.append)
@@ -532,12 +536,12 @@
             assert read(context.api, job_id, after).status == 503
 
 
-@then("the log tells the first one: job, position and what was missing; and {count:d} are counted")
+@then("the log tells job, position and cause of the first one, and {count:d} are counted")
 def then_counted(context, count):
     first, *others = _lines(context.log, "reading_put_off")
     assert (first["request_id"], first["after"], first["left_out"]) == ("job", 2, 0)
     assert (first["leader"], first["nearby"]) == ("no leader found in time", "behind")
-    # Another line only if the readings took longer than a second.
+    # Further lines only if the reads took longer than a second.
     assert len(others) < count / 2, others
     assert context.counted == ["behind"] * 20 + ["no_job"] * 5, context.counted
 
@@ -572,11 +576,11 @@
         assert reply.items[-5:] == tuple(context.appended), reply
 
 
-@then("the body of an item that is not listed is read, and that of another job's item is put off")
+@then("the body of an item without a result is read, and that of an unknown item is deferred")
 def then_body(context):
     for item_id, status, content in (("job-5", 200, b"prompt"), ("other-5", 503, None)):
         context.ledger.waits_s.clear()
         answer = context.api.serve_job_request(call("GET", "/api/items/job", query=f"id={item_id}"))
         assert answer.status == status, answer.status
         assert content is None or answer.body == content
-        assert sum(context.ledger.waits_s) < CLIENT_PATIENCE_S, context.ledger.waits_s
+        assert sum(context.ledger.waits_s) < CLIENT_TIMEOUT_S, context.ledger.waits_s
--- a/features/support/hosted_jobs.py
+++ b/features/support/hosted_jobs.py
@@ -1,4 +1,4 @@
-"""A ledger in memory with one replica, and jobs."""
+"""An in-memory ledger with one replica, batch jobs, and a coordinator with workers."""
 
 import threading
 from types import SimpleNamespace
@@ -26,7 +26,7 @@
 
 
 class MemoryLedger:
-    """Applies commands at once, through their encoding."""
+    """Applies commands immediately, after encoding and decoding them."""
 
     def __init__(self):
         self.machine = BatchJobs()
@@ -34,13 +34,13 @@
         self.leading = True
         self.largest_bytes = 0
         self.near = None
-        """State machine of a follower in the reader's zone, which may lack commands."""
+        """State machine of a follower in the reader's zone, which may lag."""
         self.asked = []
-        """Queries that the leader was asked."""
+        """Queries sent to the leader."""
         self.drops = ()
-        """Types of commands that are never applied, nor answered."""
+        """Command types that are lost: neither applied nor answered."""
         self.failures = []
-        """Errors of the next submits, with whether the command was applied nevertheless."""
+        """Errors of the next submits, and whether the command is applied nevertheless."""
         self._lock = threading.Lock()
 
     def register(self, make):
@@ -79,7 +79,7 @@
 
 
 def make_job(job_id, items, groups, minimum_version=1):
-    made = tuple(
+    job_items = tuple(
         JobItem(
             id=f"{job_id}-{number}",
             path=f"/draft/{number}",
@@ -94,7 +94,7 @@
         id=job_id,
         host=HOST,
         path_prefix="/draft/",
-        items=made,
+        items=job_items,
         accepted_at_s=1.0,
         model=MODEL,
         minimum_version=minimum_version,
@@ -119,10 +119,10 @@
 
 
 def make_leader(context, backends=(), workers_each=2, policy=DEFAULT_POLICY):
-    """A coordinator that leads, `workers_each` model workers of each service and two scorers.
+    """Start a leading coordinator, `workers_each` model workers per service, and two scorers.
 
-    With `backends`, services with their weights, the items' route is split between them; the
-    service `llm-none` has no worker.
+    With `backends`, the items' route is split between these services by their weights; the service
+    `llm-none` has no worker.
     """
     services = [each["service"] for each in backends] or ["llm"]
     service_of = {
--- a/features/support/hosted_readings.py
+++ b/features/support/hosted_readings.py
@@ -1,4 +1,4 @@
-"""A ledger whose leader, replicas and calls are in any state, before gateways that read."""
+"""A ledger with faulty leader and replicas, for reads by gateways."""
 
 from features.support.hosted_jobs import MemoryLedger
 from returns.result import Failure, Success
@@ -8,7 +8,7 @@
 
 
 class LaggingReplica:
-    """A replica that has applied the first commands of the log, and perhaps no more ever."""
+    """A replica that has applied a prefix of the log."""
 
     def __init__(self):
         self.machine = BatchJobs()
@@ -17,25 +17,25 @@
         self.answers = True
 
     def copy(self, log, count):
-        """Apply up to `count` more commands, unless it was removed."""
+        """Apply up to `count` more commands, unless the replica was removed."""
         if self.is_member:
             for command in log[self.applied : self.applied + count]:
                 self.machine.apply(command)
                 self.applied += 1
 
     def restart(self):
-        """Come back with the state of its snapshot."""
+        """Restart from a snapshot."""
         saved = self.machine.save()
         self.machine = BatchJobs()
         self.machine.load(saved)
 
     def wipe(self):
-        """Come back as a new member with an empty disk."""
+        """Restart as a new member with an empty disk."""
         self.__init__()
 
 
 class ReplicatedLedger(MemoryLedger):
-    """The ledger as one gateway sees it; all of them share a log, a leader and the replicas."""
+    """The ledger as seen by one gateway; gateways share log, leader and replicas."""
 
     def __init__(self, shared=None, zone=0):
         super().__init__()
@@ -45,7 +45,7 @@
         self.machine = shared.machine if shared else self.machine
         self.zone = zone
         self.waits_s = []
-        """Times for which calls were allowed to wait, of those that were not answered."""
+        """Timeouts of the calls that were not answered."""
 
     def submit(self, key, command, timeout_s):
         reply = super().submit(key, command, timeout_s)
--- a/features/support/kept_jobs.py
+++ b/features/support/kept_jobs.py
@@ -1,4 +1,4 @@
-"""Replicas of the jobs' state under one log, on a time that tests move by hand."""
+"""Replicas of batch jobs on one log, with a simulated clock."""
 
 from features.support.hosted_jobs import make_job
 from returns.result import Failure, Success
@@ -12,14 +12,14 @@
 
 
 class Replica:
-    """One machine: its copy of the state, its steady clock, and what counts there."""
+    """A node with its state machine, monotonic clock and retention task."""
 
     def __init__(self, shard, machine):
         self.shard = shard
         self.machine = machine
         self.applied = len(shard.log)
         self.stood_s = 0.0
-        """Time for which its steady clock has stood still, as that of a suspended machine does."""
+        """Time for which its monotonic clock stood still, as on a suspended machine."""
         self.begin()
 
     def begin(self):
@@ -49,7 +49,7 @@
 
 
 class Shard:
-    """A log, its replicas, and the one of them that leads."""
+    """A log with its replicas and leader."""
 
     def __init__(self, count=3):
         self.now_s = 5_000.0
@@ -59,7 +59,7 @@
         """True time of each job's end."""
         self.loses = self.delays = False
         self.late = []
-        """Commands without an answer that are still on their way."""
+        """Unanswered commands that may still arrive."""
         self.replicas = [Replica(self, BatchJobs()) for _ in range(count)]
         self.leader = self.replicas[0]
 
@@ -75,14 +75,14 @@
         self.leader.catch_up()
 
     def end_job(self, gateway_s):
-        """Accept and end a job with a gateway's time of day."""
+        """Accept a job, and end it with the wall clock of a gateway."""
         job_id = f"job-{len(self.ended_s)}"
         self.append(AcceptJob(make_job(job_id, 1, 1)))
         self.append(EndJob(job_id, gateway_s))
         self.ended_s[job_id] = self.now_s
 
     def look(self):
-        """Let all machines catch up and look."""
+        """Let all replicas catch up and check for expired jobs."""
         for replica in self.replicas:
             replica.catch_up()
             replica.retention.check()
@@ -92,13 +92,13 @@
         return self.now_s - self.ended_s[job_id]
 
     def check_kept(self):
-        """Let all replicas catch up; check that they have every job that is owed."""
+        """Let all replicas catch up; check that they have every unexpired job."""
         for replica in self.replicas:
             replica.catch_up()
             self._check_jobs(replica.machine.jobs.keys())
 
     def check_shown(self):
-        """Check that the leader, which has applied the whole log, has every job that is owed."""
+        """Check that the leader, which has applied the whole log, has every unexpired job."""
         self._check_jobs(self.leader.machine.jobs.keys())
 
     def _check_jobs(self, kept):
