--- a/features/steps/hosted_choice_steps.py
+++ b/features/steps/hosted_choice_steps.py
@@ -9,7 +9,7 @@
 from behave import then, when
 from features.support.fake_monitor import FakeWorkerMonitor
 from features.support.hosted_gateway import GatewayUnderTest
-from features.support.sight_nodes import SERVICE, SightNetwork
+from features.support.sight_nodes import SERVICE, GossipNetwork
 from hypothesis import given, settings
 
 from bellweir.hosted.incarnation import Incarnation
@@ -293,7 +293,7 @@
 
 @given_step("{gateways:d} gateways in {zones:d} zones that share their sight")
 def given_network(context, gateways, zones):
-    context.network = network = SightNetwork(gateways, zones, retry_share=TRY_SHARE)
+    context.network = network = GossipNetwork(gateways, zones, retry_share=TRY_SHARE)
     context.loads = [WorkerLoads("a", sight=one.monitor) for one in network.all()]
     context.entries = [worker_of(number) for number in range(len(network.workers))]
 
@@ -330,7 +330,7 @@
             if place % 4 == number % 4:
                 worker = network.workers[(place // 4 + number) % 4]
                 slow = worker == Incarnation("i-0")
-                one.see(worker, ObservedOutcome.SERVED, 0.8 if slow else 0.08)
+                one.observe(worker, ObservedOutcome.SERVED, 0.8 if slow else 0.08)
         network.run(1)
 
 
--- a/features/support/fake_monitor.py
+++ b/features/support/fake_monitor.py
@@ -1,4 +1,4 @@
-"""A sight of workers that knows what a test says, and notes what it is told."""
+"""Worker monitor with preset statistics that records its calls."""
 
 from collections import Counter
 
@@ -11,11 +11,11 @@
         """`WorkerStats` by incarnation."""
         self.loads = {}
         self.probes = set()
-        """Workers that may get one trial."""
+        """Workers that may get one probe."""
         self.allows_retries = True
         self.p95_s = 0.0
         self.ends = []
-        """Worker and outcome of each request."""
+        """Worker and outcome of each attempt."""
         self.retries = Counter()
 
     def record_start(self, service, incarnation): ...
--- a/features/support/sight_nodes.py
+++ b/features/support/sight_nodes.py
@@ -1,4 +1,4 @@
-"""Gateways that share their sight over a network in memory, round by round."""
+"""Gateways that gossip over an in-memory network, round by round."""
 
 from returns.result import Failure, Success
 
@@ -10,37 +10,37 @@
 from bellweir.wire.interface import Sender, Transport, WireError, WireErrorKind
 
 SERVICE = "app"
-SPENT_S = 0.001
+DEFAULT_LATENCY_S = 0.001
 
 
 class _Transport(Transport):
-    """Hands messages over at once."""
+    """Delivers messages immediately."""
 
     def __init__(self, node, network):
         self.node = node
         self.network = network
         self.handlers = {}
         self.sent = []
-        """Address and message type of each message."""
+        """Address and type of each message."""
 
     def register(self, message_type, handler):
         self.handlers[message_type] = handler
 
-    def _hand_over(self, address, message):
+    def _deliver(self, address, message):
         self.sent.append((address, type(message)))
         network = self.network
-        if address in network.cut or self.node in network.cut:
+        if address in network.isolated or self.node in network.isolated:
             return Failure(WireError(WireErrorKind.NO_ANSWER, "cut off"))
-        if address in network.older:
+        if address in network.unsupporting:
             return Failure(WireError(WireErrorKind.REFUSED, "unknown message"))
         handler = network.gateways[address].transport.handlers[type(message)]
         return Success(handler(Sender(self.node, self.node), message))
 
     def request(self, address, message, timeout_s):
-        return self._hand_over(address, message)
+        return self._deliver(address, message)
 
     def send(self, address, message):
-        self._hand_over(address, message)
+        self._deliver(address, message)
         return True
 
 
@@ -62,8 +62,8 @@
     def announce_leaving(self): ...
 
 
-class SightGateway:
-    """One gateway's table, exchange and judged sight."""
+class GossipGateway:
+    """Observation table, gossip and monitor of one gateway."""
 
     def __init__(self, node, network):
         def now_s():
@@ -82,26 +82,26 @@
             retry_share=network.retry_share,
         )
 
-    def see(self, worker, outcome, seconds=SPENT_S):
+    def observe(self, worker, outcome, seconds=DEFAULT_LATENCY_S):
         self.monitor.record_start(SERVICE, worker)
         self.monitor.record_end(worker, outcome, seconds)
 
 
-class SightNetwork:
-    """Gateways `g-0`, `g-1` and so on, shared evenly among zones."""
+class GossipNetwork:
+    """Gateways `g-0`, `g-1` and so on, distributed evenly over zones."""
 
     def __init__(self, gateways, zones, workers=4, retry_share=0.0):
         self.retry_share = retry_share
         self.now_s = 100.0
-        self.cut = set()
-        self.older = set()
+        self.isolated = set()
+        self.unsupporting = set()
         self.workers = [Incarnation(f"i-{number}") for number in range(workers)]
         names = [f"g-{number}" for number in range(gateways)]
         self.members = {
             name: Member(name, name, "h:1", f"z-{number % zones}", "r", False, MemberState.ALIVE, 1)
             for number, name in enumerate(names)
         }
-        self.gateways = {name: SightGateway(name, self) for name in names}
+        self.gateways = {name: GossipGateway(name, self) for name in names}
 
     def all(self):
         return list(self.gateways.values())
@@ -110,7 +110,7 @@
         for _ in range(rounds):
             self.now_s += GOSSIP_INTERVAL_S
             for gateway in self.all():
-                if gateway.transport.node not in self.older:
+                if gateway.transport.node not in self.unsupporting:
                     gateway.exchange.run_round()
             for gateway in self.all():
                 gateway.monitor.refresh()
