--- a/features/hosted_judgement.feature
+++ b/features/hosted_judgement.feature
@@ -1,34 +1,34 @@
 Feature: Workers that do worse than their fellows are set aside
-  Workers of a service are judged by what was seen of them all, on replayed load.
+  The outlier detector compares the workers of a service under replayed load.
 
   Scenario Outline: Load at workers of which some are bad
-    When <workers> workers are judged under load of which <bad> are <kind>
-    Then within 20 s just the bad ones were set aside, and they got few requests after it
+    When <workers> workers serve load of which <bad> are <kind>
+    Then within 20 s exactly the bad ones were ejected, and they got few requests afterwards
 
     Examples:
-      | workers | bad | kind              |
-      | 4       | 1   | ten times as slow |
-      | 8       | 4   | ten times as slow |
-      | 6       | 1   | grey              |
-      | 5       | 2   | failing all       |
+      | workers | bad | kind                     |
+      | 4       | 1   | ten times as slow        |
+      | 8       | 4   | ten times as slow        |
+      | 6       | 1   | failing half of requests |
+      | 5       | 2   | failing every request    |
 
   Scenario Outline: Load at workers that are alike or sound
-    When <workers> workers are judged under load of which <bad> are <kind>
-    Then nobody was ever set aside
+    When <workers> workers serve load of which <bad> are <kind>
+    Then no worker was ever ejected
 
     Examples:
-      | workers | bad | kind              |
-      | 6       | 6   | ten times as slow |
-      | 6       | 6   | failing all       |
-      | 8       | 6   | 2.2 times as slow |
-      | 1       | 1   | failing all       |
-      | 6       | 0   | grey              |
+      | workers | bad | kind                     |
+      | 6       | 6   | ten times as slow        |
+      | 6       | 6   | failing every request    |
+      | 8       | 6   | 2.2 times as slow        |
+      | 1       | 1   | failing every request    |
+      | 6       | 0   | failing half of requests |
 
   Scenario: Sound workers of two kinds whose times vary widely
-    Then at 10 loads of 6 slower and 2 faster workers no more than 1 in 40 is ever set aside
+    Then at 10 loads of 6 slower and 2 faster workers no more than 1 in 40 is ever ejected
 
   Scenario Outline: Requests that fail wherever they go
-    Then at 10 loads of <workers> workers that fail <percent>% alike no more than 1 in 10 is ever set aside
+    Then at 10 loads of <workers> workers that fail <percent>% alike no more than 1 in 10 is ever ejected
 
     Examples:
       | workers | percent |
@@ -37,16 +37,16 @@
       | 4       | 50      |
 
   Scenario: A worker that is well again returns by trials
-    Given 4 workers are judged of which one fails everything for 10 s
-    Then it is set aside, and it serves again within 45 s
+    Given 4 workers serve load of which one fails every request for 10 s
+    Then it is ejected, and reinstated within 45 s
 
   Scenario: A worker that is well and bad by turns
-    Given 4 workers are judged of which one is bad for 5 s of each 12 s
-    Then each while that it is set aside within a minute of the last is longer, up to 30 s
+    Given 4 workers serve load of which one fails every request for 5 s of each 12 s
+    Then each ejection within a minute of the last is longer, up to 30 s
 
   Scenario: Most of a service is bad in turn
-    Then at any outcomes no more than half of a service is set aside, and a single worker never is
-    And what was seen since a moment is exact at any outcomes
+    Then under any outcomes at most half of a service is ejected, and a single worker never is
+    And counts since an earlier time are exact under any outcomes
 
   Scenario: A worker that is well again, where requests are rare
-    Then a worker whose trials are 9 s apart returns within a minute of being well
+    Then a worker whose probes are 9 s apart is reinstated within a minute of its recovery
--- a/features/steps/hosted_judgement_steps.py
+++ b/features/steps/hosted_judgement_steps.py
@@ -1,4 +1,4 @@
-"""Judgement of workers on replayed load: times are passed in, nothing waits."""
+"""Steps for the outlier detection, on replayed load with simulated time."""
 
 import itertools
 import random
@@ -14,22 +14,22 @@
 from bellweir.hosted.sight.outlier_detection import MAX_EJECTION_S, OutlierDetector, max_ejected
 
 STEP_S = 0.1
-USUAL_S = 0.1
-GREY_SHARE = 0.5
+NORMAL_LATENCY_S = 0.1
+GREY_FAILURE_SHARE = 0.5
 SLOWNESS = {"ten times as slow": 10.0, "2.2 times as slow": 2.2}
 
 
 class ReplayedLoad:
-    """Requests at random workers that are not set aside, and at others by trials."""
+    """Sends requests to random workers that are not ejected, and probes to ejected ones."""
 
     def __init__(self, count, seed=1):
         self.random = random.Random(seed)
         self.workers = [Incarnation(f"i-{number}") for number in range(count)]
         self.seen = {one: DecayingCounts() for one in self.workers}
         self.detector = OutlierDetector()
-        self.verdicts = []
-        self.sends = dict.fromkeys(self.workers, 0)
-        self.sends_aside = dict.fromkeys(self.workers, 0)
+        self.changes = []
+        self.requests = dict.fromkeys(self.workers, 0)
+        self.probes = dict.fromkeys(self.workers, 0)
 
     def run(self, outcome_of, seconds, begin_s=0.0):
         for step in range(round(seconds / STEP_S)):
@@ -37,61 +37,61 @@
             one = self._choose(now_s)
             outcome, took_s = outcome_of(one, now_s)
             self.seen[one].add(outcome, took_s, now_s)
-            changes = self.detector.update("s", self.seen, now_s)
-            self.verdicts += [(now_s, change) for change in changes]
+            new = self.detector.update("s", self.seen, now_s)
+            self.changes += [(now_s, change) for change in new]
 
     def _choose(self, now_s):
         for one in self.workers:
             if self.detector.may_probe(one, now_s):
-                self.sends_aside[one] += 1
+                self.probes[one] += 1
                 return one
-        well = [one for one in self.workers if not self.detector.is_ejected(one)]
-        one = self.random.choice(well)
-        self.sends[one] += 1
+        healthy = [one for one in self.workers if not self.detector.is_ejected(one)]
+        one = self.random.choice(healthy)
+        self.requests[one] += 1
         return one
 
 
 def outcomes(load, bad, kind):
-    """Outcome of a request by the worker's kind; sound ones vary by a third."""
+    """Outcome of a request by the kind of its worker; normal latency varies by a third."""
 
     def outcome_of(one, _now_s):
-        took_s = USUAL_S * load.random.uniform(0.67, 1.33)
+        took_s = NORMAL_LATENCY_S * load.random.uniform(0.67, 1.33)
         if one not in bad:
             return ObservedOutcome.SERVED, took_s
         if kind in SLOWNESS:
             return ObservedOutcome.SERVED, took_s * SLOWNESS[kind]
-        if kind == "failing all" or load.random.random() < GREY_SHARE:
+        if kind == "failing every request" or load.random.random() < GREY_FAILURE_SHARE:
             return ObservedOutcome.FAILED, 0.001
         return ObservedOutcome.SERVED, took_s
 
     return outcome_of
 
 
-@when("{count:d} workers are judged under load of which {bad:d} are {kind}")
-def when_judged(context, count, bad, kind):
+@when("{count:d} workers serve load of which {bad:d} are {kind}")
+def when_served(context, count, bad, kind):
     context.load = load = ReplayedLoad(count)
     context.bad = set(load.workers[:bad])
     load.run(outcomes(load, context.bad, kind), 20.0)
 
 
-@then("within 20 s just the bad ones were set aside, and they got few requests after it")
-def then_bad_aside(context):
+@then("within 20 s exactly the bad ones were ejected, and they got few requests afterwards")
+def then_bad_ejected(context):
     load = context.load
-    aside = {change.incarnation for _, change in load.verdicts if not change.is_reinstatement}
-    assert aside == context.bad, aside
+    ejected = {change.incarnation for _, change in load.changes if not change.is_reinstatement}
+    assert ejected == context.bad, ejected
     for one in context.bad:
-        assert load.sends[one] <= 40, load.sends
-        assert load.sends_aside[one] <= 8, load.sends_aside
+        assert load.requests[one] <= 40, load.requests
+        assert load.probes[one] <= 8, load.probes
 
 
-@then("nobody was ever set aside")
-def then_nobody(context):
-    assert not context.load.verdicts, [str(one.incarnation) for _, one in context.load.verdicts]
+@then("no worker was ever ejected")
+def then_none_ejected(context):
+    assert not context.load.changes, [str(one.incarnation) for _, one in context.load.changes]
 
 
-@then("at {loads:d} loads of 6 slower and 2 faster workers no more than 1 in 40 is ever set aside")
+@then("at {loads:d} loads of 6 slower and 2 faster workers no more than 1 in 40 is ever ejected")
 def then_two_kinds(context, loads):
-    aside = 0
+    ejected = 0
     for seed in range(loads):
         load = ReplayedLoad(8, seed)
         fast = set(load.workers[:2])
@@ -101,60 +101,60 @@
             return ObservedOutcome.SERVED, took_s if one in fast else 2.2 * took_s
 
         load.run(outcome_of, 30.0)
-        aside += len({change.incarnation for _, change in load.verdicts})
-    assert aside <= 8 * loads / 40, aside
+        ejected += len({change.incarnation for _, change in load.changes})
+    assert ejected <= 8 * loads / 40, ejected
 
 
 @then(
     "at {loads:d} loads of {count:d} workers that fail {percent:d}% alike no more than 1 in 10 is "
-    "ever set aside"
+    "ever ejected"
 )
 def then_fail_alike(context, loads, count, percent):
-    aside = 0
+    ejected = 0
     for seed in range(loads):
         load = ReplayedLoad(count, seed)
 
         def outcome_of(_one, _now_s, load=load):
             failed = load.random.random() < percent / 100
-            return ObservedOutcome.FAILED if failed else ObservedOutcome.SERVED, USUAL_S
+            return ObservedOutcome.FAILED if failed else ObservedOutcome.SERVED, NORMAL_LATENCY_S
 
         load.run(outcome_of, 20.0)
-        aside += len({change.incarnation for _, change in load.verdicts})
-    assert aside <= count * loads / 10, aside
+        ejected += len({change.incarnation for _, change in load.changes})
+    assert ejected <= count * loads / 10, ejected
 
 
-@given_step("{count:d} workers are judged of which one fails everything for 10 s")
-def given_bad_for_a_while(context, count):
+@given_step("{count:d} workers serve load of which one fails every request for 10 s")
+def given_failing_for_a_while(context, count):
     context.load = load = ReplayedLoad(count)
-    bad = outcomes(load, {load.workers[0]}, "failing all")
-    well = outcomes(load, set(), "")
-    load.run(lambda one, now_s: (bad if now_s < 10 else well)(one, now_s), 55.0)
+    bad = outcomes(load, {load.workers[0]}, "failing every request")
+    healthy = outcomes(load, set(), "")
+    load.run(lambda one, now_s: (bad if now_s < 10 else healthy)(one, now_s), 55.0)
 
 
-@then("it is set aside, and it serves again within 45 s")
+@then("it is ejected, and reinstated within 45 s")
 def then_returns(context):
     load = context.load
-    assert {one.incarnation for _, one in load.verdicts} == {load.workers[0]}
-    assert not load.verdicts[0][1].is_reinstatement
-    assert load.verdicts[-1][1].is_reinstatement, load.verdicts[-1][1].kind
+    assert {one.incarnation for _, one in load.changes} == {load.workers[0]}
+    assert not load.changes[0][1].is_reinstatement
+    assert load.changes[-1][1].is_reinstatement, load.changes[-1][1].kind
     assert not load.detector.is_ejected(load.workers[0])
 
 
-@given_step("{count:d} workers are judged of which one is bad for 5 s of each 12 s")
+@given_step("{count:d} workers serve load of which one fails every request for 5 s of each 12 s")
 def given_flapping(context, count):
     context.load = load = ReplayedLoad(count)
-    bad = outcomes(load, {load.workers[0]}, "failing all")
-    well = outcomes(load, set(), "")
-    load.run(lambda one, now_s: (bad if now_s % 12 < 5 else well)(one, now_s), 120.0)
+    bad = outcomes(load, {load.workers[0]}, "failing every request")
+    healthy = outcomes(load, set(), "")
+    load.run(lambda one, now_s: (bad if now_s % 12 < 5 else healthy)(one, now_s), 120.0)
 
 
-@then("each while that it is set aside within a minute of the last is longer, up to 30 s")
-def then_growing(context):
-    whiles = [one.for_s for _, one in context.load.verdicts if not one.is_reinstatement]
-    assert len(whiles) >= 4, whiles
-    assert {one.incarnation for _, one in context.load.verdicts} == {context.load.workers[0]}
-    for shorter, longer in itertools.pairwise(whiles):
-        assert longer == min(MAX_EJECTION_S, 2 * shorter), whiles
+@then("each ejection within a minute of the last is longer, up to 30 s")
+def then_backoff_grows(context):
+    ejections_s = [one.for_s for _, one in context.load.changes if not one.is_reinstatement]
+    assert len(ejections_s) >= 4, ejections_s
+    assert {one.incarnation for _, one in context.load.changes} == {context.load.workers[0]}
+    for shorter, longer in itertools.pairwise(ejections_s):
+        assert longer == min(MAX_EJECTION_S, 2 * shorter), ejections_s
 
 
 EVENTS = st.lists(
@@ -168,7 +168,7 @@
 )
 
 
-@then("at any outcomes no more than half of a service is set aside, and a single worker never is")
+@then("under any outcomes at most half of a service is ejected, and a single worker never is")
 def then_bounded(context):
     @settings(max_examples=200, deadline=None)
     @given(count=st.integers(1, 5), events=EVENTS, leaves=st.integers(0, 60))
@@ -177,21 +177,21 @@
         seen = {one: DecayingCounts() for one in workers}
         detector = OutlierDetector()
         now_s = 0.0
-        for number, (which, outcome, took_s, pause_s) in enumerate(events):
+        for number, (index, outcome, took_s, pause_s) in enumerate(events):
             now_s += pause_s
             if number == leaves and len(seen) > 1:
                 del seen[next(iter(seen))]
                 detector.retain(seen)
-            one = list(seen)[which % len(seen)]
+            one = list(seen)[index % len(seen)]
             seen[one].add(outcome, took_s, now_s)
             detector.update("s", seen, now_s)
-            aside = sum(detector.is_ejected(each) for each in seen)
-            assert aside <= max_ejected(len(seen))
+            ejected = sum(detector.is_ejected(each) for each in seen)
+            assert ejected <= max_ejected(len(seen))
 
     bounded()
 
 
-@then("what was seen since a moment is exact at any outcomes")
+@then("counts since an earlier time are exact under any outcomes")
 def then_exact(context):
     @settings(max_examples=100, deadline=None)
     @given(before=EVENTS, after=EVENTS)
@@ -213,7 +213,7 @@
     exact()
 
 
-@then("a worker whose trials are 9 s apart returns within a minute of being well")
+@then("a worker whose probes are 9 s apart is reinstated within a minute of its recovery")
 def then_returns(context):
     bad, good = Incarnation("bad"), Incarnation("good")
     seen, detector = {bad: DecayingCounts(), good: DecayingCounts()}, OutlierDetector()
@@ -225,7 +225,7 @@
     now_s = 0.0
     while detector.is_ejected(bad):
         now_s += 9.0
-        assert now_s <= 60.0, "still set aside"
+        assert now_s <= 60.0, "still ejected"
         seen[good].add(ObservedOutcome.SERVED, 0.1, now_s)
         detector.update("s", seen, now_s)
         if detector.may_probe(bad, now_s):
