--- a/src/bellweir/hosted/queueing/__init__.py
+++ b/src/bellweir/hosted/queueing/__init__.py
@@ -1,1 +1,1 @@
-"""Queueing: the order of requests that wait for room, and when refused ones come back."""
+"""Fair queueing of requests that wait for capacity, and Retry-After for refused ones."""
--- a/src/bellweir/hosted/queueing/admission_queue.py
+++ b/src/bellweir/hosted/queueing/admission_queue.py
@@ -1,8 +1,9 @@
-"""Decides which requests for one service start, wait or are refused, and when those that wait go.
+"""Decides which requests for a service start, wait or are refused, and when waiting ones proceed.
 
-State: the requests that wait, and those that were let go and are not in hand of a worker yet. No
-input or output, no clock, no threads: the owner passes the time and the workers' room, and holds a
-lock. The cost of a look is that of a few passes over the queue, which is bounded, and the workers.
+Holds the waiting requests and counts those being dispatched, which are released but not in flight
+at a worker yet. Does no I/O, reads no clock and takes no lock: the caller passes the time and the
+workers' capacity and serializes calls. The cost of a call is linear in the bounded queue length and
+the number of workers.
 """
 
 from collections import Counter
@@ -25,12 +26,12 @@
 )
 
 RESERVED_TARGET_SHARE = 0.2
-"""Share of the target that is left to those within their shares: an answer to others must be
-expected so much sooner for them to start."""
+"""Share of the target reserved for requests within their fair share: others start only if expected
+this much earlier."""
 
 
 class AdmissionQueue:
-    """Requests for one service that this process has not offered to a worker yet."""
+    """Requests for one service that this process has not sent to a worker yet."""
 
     def __init__(
         self,
@@ -39,7 +40,10 @@
         max_length: int,
         shares: RecentShares | None = None,
     ) -> None:
-        """`max_length`: most requests that wait at once. With `shares` a reserve is kept by them."""
+        """`max_length` bounds the queue.
+
+        With `shares`, capacity is reserved for tenants within their fair share.
+        """
         self._shares = shares
         self._policy = policy
         self._discipline = discipline
@@ -47,22 +51,22 @@
         self._dispatching = 0
 
     def __len__(self) -> int:
-        """How many wait."""
+        """Number of waiting requests."""
         return len(self._discipline)
 
     def submit(
         self, request: QueuedRequest, workers: Sequence[WorkerCapacity], now_s: float
     ) -> tuple[AdmissionDecision, QueuedRequest | None]:
-        """Judge a request that has just come; after `WAIT` it waits until `look` releases it.
+        """Decide on a new request; on `WAIT` it is queued until `release_ready` returns it.
 
-        The second value is another request that had to leave a full queue for it. One that starts
-        is on its way until `arrived`.
+        The second value is a request displaced from a full queue to make room. After `START`, the
+        request counts as being dispatched until `dispatch_done`.
         """
         if self._shares is not None:
             self._shares.record(request, now_s)
-        before = fair_position(self._discipline.all(), request)
-        decision = self._decide(request, workers, now_s, before)
-        if decision.action is AdmissionAction.START and before and now_s < request.wait_until_s:
+        ahead = fair_position(self._discipline.all(), request)
+        decision = self._decide(request, workers, now_s, ahead)
+        if decision.action is AdmissionAction.START and ahead and now_s < request.wait_until_s:
             decision = decision.with_action(AdmissionAction.WAIT)
         if decision.action is AdmissionAction.START:
             self._discipline.charge(request)
@@ -81,7 +85,7 @@
     def release_ready(
         self, workers: Sequence[WorkerCapacity], now_s: float
     ) -> list[ReleasedRequest]:
-        """Those that need not wait any longer, in the order in which they go."""
+        """Remove and return the requests that need not wait any longer, in order."""
         released = []
         while (first := self._discipline.peek()) is not None:
             decision = self._decide(first, workers, now_s, 0)
@@ -101,44 +105,46 @@
     def _release(
         self, request: QueuedRequest, cause: ReleaseCause, decision: AdmissionDecision
     ) -> ReleasedRequest:
-        goes_on = cause in (ReleaseCause.ROOM, ReleaseCause.OVERDUE)
-        self._discipline.remove(request, served=goes_on)
-        if goes_on:
+        is_dispatched = cause in (ReleaseCause.ROOM, ReleaseCause.OVERDUE)
+        self._discipline.remove(request, served=is_dispatched)
+        if is_dispatched:
             self._dispatching += 1
         return ReleasedRequest(request, cause, decision)
 
     def cancel(self, request: QueuedRequest) -> bool:
-        """A client left; False when its request did not wait any more."""
+        """Remove a request whose client left; False if it was not waiting."""
         return self._discipline.remove(request, served=False)
 
     def dispatch_done(self) -> None:
-        """One that was on its way is in hand of a worker, or has ended."""
+        """A dispatched request is in flight at a worker, or has ended."""
         self._dispatching = max(0, self._dispatching - 1)
 
     def _decide(
-        self, request: QueuedRequest, workers: Sequence[WorkerCapacity], now_s: float, before: int
+        self, request: QueuedRequest, workers: Sequence[WorkerCapacity], now_s: float, ahead: int
     ) -> AdmissionDecision:
         limits = TimeLimits(
             remaining_s=request.deadline_s - now_s,
-            target_s=self._share_of_target(request) - (now_s - request.arrived_s),
+            target_s=self._target_s(request) - (now_s - request.arrived_s),
             max_wait_s=max(0.0, request.wait_until_s - now_s),
         )
-        return self._policy.decide(workers, limits, self._dispatching + before)
+        return self._policy.decide(workers, limits, self._dispatching + ahead)
 
-    def _share_of_target(self, request: QueuedRequest) -> float:
+    def _target_s(self, request: QueuedRequest) -> float:
         exceeds_share = self._shares is not None and self._shares.exceeds_share(request)
         return request.target_s * (1 - RESERVED_TARGET_SHARE if exceeds_share else 1)
 
 
 def fair_position(queue: Sequence[QueuedRequest], newcomer: QueuedRequest) -> int:
-    """How many go before a newcomer: the more urgent, and of its equals each tenant's fair share.
+    """Number of requests to be served before a new one.
+
+    These are the more urgent ones, and of the same priority a fair share for each tenant.
 
     >>> old = [QueuedRequest(f"r{n}", "large", 5, n, 9, 9) for n in range(3)]
     >>> fair_position(old, QueuedRequest("s", "small", 5, 3, 9, 9)), fair_position(old, old[0])
     (1, 3)
     """
     more_urgent = sum(each.priority < newcomer.priority for each in queue)
-    held = Counter(each.tenant for each in queue if each.priority == newcomer.priority)
-    turns = held[newcomer.tenant]
-    others = sum(min(n, turns + 1) for tenant, n in held.items() if tenant != newcomer.tenant)
+    counts = Counter(each.tenant for each in queue if each.priority == newcomer.priority)
+    turns = counts[newcomer.tenant]
+    others = sum(min(n, turns + 1) for tenant, n in counts.items() if tenant != newcomer.tenant)
     return more_urgent + turns + others
--- a/src/bellweir/hosted/queueing/by_priority.py
+++ b/src/bellweir/hosted/queueing/by_priority.py
@@ -1,4 +1,4 @@
-"""What every order has in common: the requests, and the priorities among them."""
+"""Common base of the queue disciplines: waiting requests and their priority classes."""
 
 from collections.abc import Sequence
 
@@ -6,28 +6,28 @@
 
 
 class PriorityDiscipline(QueueDiscipline):
-    """Keeps requests in the order of their arrival.
+    """Keeps requests in order of arrival.
 
-    The queue is bounded and short, so that a look at all of it costs little.
+    Operations are linear scans, since the queue is short and bounded.
     """
 
     def __init__(self) -> None:
         self._queue: list[QueuedRequest] = []
 
     def __len__(self) -> int:
-        """How many wait."""
+        """Number of waiting requests."""
         return len(self._queue)
 
     def all(self) -> Sequence[QueuedRequest]:
-        """All that wait, oldest first."""
+        """All waiting requests, oldest first."""
         return tuple(self._queue)
 
-    def _first_class(self) -> list[QueuedRequest]:
-        """Those of the most urgent priority that waits, oldest first."""
+    def _most_urgent(self) -> list[QueuedRequest]:
+        """Waiting requests of the most urgent priority present, oldest first."""
         first = min((each.priority for each in self._queue), default=0)
         return [each for each in self._queue if each.priority == first]
 
-    def _take_out(self, request: QueuedRequest) -> bool:
+    def _remove(self, request: QueuedRequest) -> bool:
         for number, each in enumerate(self._queue):
             if each is request:
                 del self._queue[number]
@@ -36,10 +36,10 @@
 
 
 def displaced_request(queue: Sequence[QueuedRequest], newcomer: QueuedRequest) -> QueuedRequest:
-    """Which request makes room for a newcomer in a full queue; the newcomer itself, mostly.
+    """Which request a full queue drops for a new one; possibly the new one itself.
 
-    The least urgent goes first, among these the newest one of the tenant that has most of them; a
-    tenant is not displaced by one that has as many, so that a flood displaces only itself.
+    Drops the newest request of the tenant with the most requests in the least urgent priority. A
+    tenant is not displaced by one with as many requests, so that a flood displaces only itself.
 
     >>> old = [QueuedRequest(f"r{n}", "large", 5, n, 9, 9) for n in range(3)]
     >>> displaced_request(old, QueuedRequest("s", "small", 5, 3, 9, 9))
@@ -47,13 +47,13 @@
     >>> displaced_request(old, QueuedRequest("r3", "large", 5, 3, 9, 9))
     QueuedRequest('r3', tenant='large', priority=5)
     """
-    all_of_them = [*queue, newcomer]
-    last = max(each.priority for each in all_of_them)
-    least_urgent = [each for each in all_of_them if each.priority == last]
-    held: dict[str, int] = {}
+    requests = [*queue, newcomer]
+    last = max(each.priority for each in requests)
+    least_urgent = [each for each in requests if each.priority == last]
+    counts: dict[str, int] = {}
     for each in least_urgent:
-        held[each.tenant] = held.get(each.tenant, 0) + 1
-    most = max(held.values())
-    if held.get(newcomer.tenant) == most and newcomer.priority == last:
+        counts[each.tenant] = counts.get(each.tenant, 0) + 1
+    most = max(counts.values())
+    if counts.get(newcomer.tenant) == most and newcomer.priority == last:
         return newcomer
-    return [each for each in least_urgent if held[each.tenant] == most][-1]
+    return [each for each in least_urgent if counts[each.tenant] == most][-1]
--- a/src/bellweir/hosted/queueing/gate.py
+++ b/src/bellweir/hosted/queueing/gate.py
@@ -1,4 +1,4 @@
-"""Holds the threads of requests until the decisions let them go."""
+"""Blocks the threads of requests until admission control releases them."""
 
 import threading
 import time
@@ -23,13 +23,13 @@
 from bellweir.hosted.views.workers import Worker
 
 CHECK_INTERVAL_S = 0.005
-"""Pause between two looks of a request that waits: room that others see made is not told."""
+"""Polling interval of waiting requests: capacity freed by other gateways raises no event."""
 MAX_LOGGED_S = 1e6
-STARTS = frozenset({ReleaseCause.ROOM, ReleaseCause.OVERDUE})
+DISPATCH_CAUSES = frozenset({ReleaseCause.ROOM, ReleaseCause.OVERDUE})
 
 
 class _Ticket:
-    """A thread that waits, and what became of its request."""
+    """A waiting thread and the release of its request."""
 
     __slots__ = ("event", "released")
 
@@ -39,7 +39,7 @@
 
 
 class _ServiceQueue:
-    """One service's requests; its lock is held over decisions only."""
+    """Queue of one service; its lock is held only while deciding, never while waiting."""
 
     __slots__ = ("admissions", "last_check_s", "lock", "tickets")
 
@@ -50,7 +50,7 @@
         self.last_check_s = float("-inf")
 
     def notify(self, released: ReleasedRequest) -> None:
-        """Wake the thread of one that no longer waits."""
+        """Wake the thread of a released request."""
         ticket = self.tickets.pop(id(released.request), None)
         if ticket is not None:
             ticket.released = released
@@ -58,7 +58,7 @@
 
 
 class RequestGate:
-    """Requests of this gateway before they are offered to a worker. Safe for threads."""
+    """Admission of this gateway's requests before they go to a worker. Safe for threads."""
 
     def __init__(
         self,
@@ -82,7 +82,7 @@
         self._queues: dict[str, _ServiceQueue] = {}
 
     def queue_length(self) -> int:
-        """Requests that wait now, of all services."""
+        """Number of waiting requests of all services."""
         with self._lock:
             queues = list(self._queues.values())
         return sum(len(queue.admissions) for queue in queues)
@@ -94,9 +94,10 @@
         workers: Sequence[Worker],
         is_cancelled: Callable[[], bool] = lambda: False,
     ) -> bool:
-        """Whether a request is to be offered to a worker; blocks at most until its `wait_until_s`.
+        """Whether a request may go to a worker; blocks at most until its `wait_until_s`.
 
-        After True, `arrived` is due as soon as a place at a worker is taken, or none can be.
+        After True, the caller must call `dispatch_done` once the request is in flight at a worker,
+        or none could be found.
         """
         queue = self._queue(service)
         now_s = self._now_s()
@@ -130,7 +131,7 @@
                     if is_cancelled() and queue.admissions.cancel(request):
                         queue.tickets.pop(id(request), None)
                         return False
-                    self._look(queue, workers, FRESH_TARGET_SHARE * request.target_s)
+                    self._release_ready(queue, workers, FRESH_TARGET_SHARE * request.target_s)
         except BaseException:
             with queue.lock:
                 queue.tickets.pop(id(request), None)
@@ -142,7 +143,7 @@
         if released is None:
             return False
         self._observe_wait(service, waited_s)
-        if released.cause not in STARTS:
+        if released.cause not in DISPATCH_CAUSES:
             self._record_refusal(
                 service, request, released.cause.value, released.decision, waited_s
             )
@@ -158,8 +159,10 @@
         )
         return True
 
-    def _look(self, queue: _ServiceQueue, workers: Sequence[Worker], max_age_s: float) -> None:
-        """Look for the whole line; one of its threads does so in each pause, for all."""
+    def _release_ready(
+        self, queue: _ServiceQueue, workers: Sequence[Worker], max_age_s: float
+    ) -> None:
+        """Release requests of the whole queue; at most one of its threads does so per interval."""
         now_s = self._now_s()
         if now_s - queue.last_check_s < CHECK_INTERVAL_S:
             return
@@ -190,7 +193,7 @@
         )
 
     def dispatch_done(self, service: str) -> None:
-        """A place at a worker was taken for a request that was let go, or none can be."""
+        """An admitted request is in flight at a worker, or no worker could be found."""
         queue = self._queue(service)
         with queue.lock:
             queue.admissions.dispatch_done()
@@ -203,7 +206,7 @@
         remaining_s: float,
         remaining_share: float,
     ) -> float | None:
-        """Seconds after which a refused client is to come back; None where that is switched off."""
+        """Retry-After in seconds for a refused client; None if disabled in the settings."""
         if not self._settings.return_from_room:
             return None
         capacities = self._capacity.for_workers(workers, ESTIMATE_MAX_AGE_S)
--- a/src/bellweir/hosted/queueing/interface.py
+++ b/src/bellweir/hosted/queueing/interface.py
@@ -1,4 +1,4 @@
-"""Requests that wait for room, as typed values and abstract classes."""
+"""Typed values and abstract classes for queued requests."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Sequence
@@ -8,7 +8,7 @@
 
 
 class QueuedRequest:
-    """One request that waits. Times are of the monotonic clock, in seconds.
+    """A request subject to admission. Times are monotonic, in seconds.
 
     >>> QueuedRequest("r-1", "dealers", 2, arrived_s=10.0, wait_until_s=10.025, deadline_s=11.0)
     QueuedRequest('r-1', tenant='dealers', priority=2)
@@ -36,11 +36,11 @@
         cost_s: float = 1.0,
         target_s: float = 1.0,
     ) -> None:
-        """`priority` 0 goes first.
+        """Priority 0 is the most urgent.
 
-        `wait_until_s`: when it is let go, room or not. `deadline_s`: when its client must have an
-        answer, `target_s` after its arrival when it should. `cost_s`: time of a worker's place that
-        it is expected to take.
+        `wait_until_s`: when it is released even without capacity. `deadline_s`: when its client
+        must have an answer. `target_s`: latency target after its arrival. `cost_s`: expected time
+        it occupies a slot.
         """
         self.request_id = request_id
         self.tenant = tenant
@@ -52,55 +52,58 @@
         self.target_s = target_s
 
     def __repr__(self) -> str:
-        return f"QueuedRequest({self.request_id!r}, tenant={self.tenant!r}, priority={self.priority!r})"
+        return (
+            f"QueuedRequest({self.request_id!r}, tenant={self.tenant!r}, "
+            f"priority={self.priority!r})"
+        )
 
 
 class QueueDiscipline(ABC):
-    """Order among waiting requests: by priority, then by fair shares among tenants, then by age.
+    """Order of waiting requests: by priority, then fair among tenants, then by age.
 
-    Not safe for threads: its owner's lock guards it. Requests are told apart by identity.
+    Not safe for threads: the owner's lock guards it. Requests are compared by identity.
     """
 
     @abstractmethod
     def __len__(self) -> int:
-        """How many wait."""
+        """Number of waiting requests."""
 
     @abstractmethod
     def push(self, request: QueuedRequest) -> None:
-        """Add one."""
+        """Add a request."""
 
     @abstractmethod
     def peek(self) -> QueuedRequest | None:
-        """The one whose turn it is; None when nobody waits."""
+        """The next request to serve; None if none waits."""
 
     @abstractmethod
     def remove(self, request: QueuedRequest, *, served: bool) -> bool:
-        """Take one out; False when it does not wait. `served` charges its tenant."""
+        """Remove a request; False if it was not waiting. `served` charges its tenant."""
 
     @abstractmethod
     def charge(self, request: QueuedRequest) -> None:
-        """Charge a tenant for a request that started without a wait."""
+        """Charge a tenant for a request that started without waiting."""
 
     @abstractmethod
     def all(self) -> Sequence[QueuedRequest]:
-        """All that wait, in no order."""
+        """All waiting requests, in any order."""
 
 
 class ReleaseCause(Enum):
     """Why a request no longer waits."""
 
     ROOM = "room"
-    """Its turn came and there was room."""
+    """It was its turn and there was capacity."""
     OVERDUE = "overdue"
-    """There was no room in time; it is offered to the workers all the same."""
+    """No capacity within its wait; it is sent to a worker regardless."""
     HOPELESS = "hopeless"
-    """It is expected too late, as by a refusal at once, after a wait."""
+    """Refused after a wait: it is expected too late."""
     DISPLACED = "displaced"
-    """The queue was full, and another one had more right to a place in it."""
+    """Displaced from a full queue by another request."""
 
 
 class ReleasedRequest:
-    """A request that no longer waits, and the judgement it rests on."""
+    """A request that no longer waits, and the decision behind it."""
 
     __slots__ = ("cause", "decision", "request")
 
@@ -113,9 +116,10 @@
 
 
 class CapacityEstimate:
-    """What is known of the room of a service when a request is refused.
+    """Capacity of a service when a request is refused.
 
-    `usable_slots` are those from which an answer comes in time; `service_rate_per_s` places get free.
+    `usable_slots` are requests that can be in flight and still meet the target;
+    `service_rate_per_s` slots are freed per second.
     """
 
     __slots__ = ("occupied", "own_share", "service_rate_per_s", "usable_slots")
@@ -123,10 +127,9 @@
     def __init__(
         self, occupied: float, usable_slots: float, service_rate_per_s: float, own_share: float
     ) -> None:
-        """`occupied`: requests in hand and waiting.
+        """`occupied`: requests in flight or queued.
 
-        `own_share`: of these, those of this gateway, as a share from 0 to 1. `service_rate_per_s` is 0
-        while unknown.
+        `own_share`: this gateway's share of these, 0 to 1. `service_rate_per_s` is 0 while unknown.
         """
         self.occupied = occupied
         self.usable_slots = usable_slots
@@ -137,11 +140,14 @@
     def from_workers(
         cls, workers: Sequence[WorkerCapacity], target_s: float, queued: int, own: float
     ) -> "CapacityEstimate":
-        """Reckon it for requests with a target, `own` of them in hand of this gateway.
-
-        >>> estimate = CapacityEstimate.from_workers([WorkerCapacity(6, 30, 0.05)], 0.1, queued=0, own=3)
-        >>> estimate.occupied, estimate.usable_slots, round(estimate.service_rate_per_s), estimate.own_share
-        (30, 12.0, 120, 0.1)
+        """Estimate for a latency target, with `own` requests of this gateway in flight.
+
+        >>> workers = [WorkerCapacity(6, 30, 0.05)]
+        >>> estimate = CapacityEstimate.from_workers(workers, 0.1, queued=0, own=3)
+        >>> estimate.occupied, estimate.usable_slots, estimate.own_share
+        (30, 12.0, 0.1)
+        >>> round(estimate.service_rate_per_s)
+        120
         """
         known = [worker for worker in workers if worker.service_time_s > 0]
         occupied = sum(worker.in_flight for worker in workers) + queued
@@ -154,7 +160,7 @@
 
 
 class RetryAfterPolicy(ABC):
-    """Says when a refused client is to come back."""
+    """Decides when refused clients are asked to retry."""
 
     @abstractmethod
     def retry_after_s(
@@ -165,8 +171,8 @@
         remaining_share: float,
         now_s: float,
     ) -> float:
-        """Seconds after which to come back; at most a third of `remaining_s`, the client's time.
+        """Retry-After in seconds, at most a third of `remaining_s`, the client's time left.
 
-        `remaining_share`: which part of the time that its client gave it is left, 0 to 1; those that
-        have least left come back first.
+        `remaining_share`: part of the client's time that is left, 0 to 1; clients with the least
+        left retry first.
         """
--- a/src/bellweir/hosted/queueing/retry_after.py
+++ b/src/bellweir/hosted/queueing/retry_after.py
@@ -1,7 +1,7 @@
-"""Says when a refused client is to come back.
+"""Retry-After for refused clients.
 
-The load it answers: a burst that is refused and would come back as one. The time starts from that
-in which the requests in hand shrink to those that are answered in time.
+Spreads the retries of a refused burst, starting when the requests in flight are expected to have
+drained to what can be answered in time.
 """
 
 import random
@@ -10,24 +10,26 @@
 from bellweir.hosted.queueing.interface import CapacityEstimate, RetryAfterPolicy
 
 MAX_REMAINING_SHARE = 1 / 3
-"""Clients keep to a time of at most this share of what they have left."""
+"""Clients ignore a Retry-After beyond this share of their remaining time."""
 UNKNOWN_RATE_S = 0.2
-"""Time to come back while a service's times are not known."""
+"""Retry-After while the service rate is unknown."""
 NO_WORKERS_S = 0.5
-"""The same while it has no worker."""
+"""Retry-After while the service has no workers."""
 JITTER_SHARE = 0.5
-"""Share of the expected time over which clients that are refused together come back."""
+"""Maximum spread as a share of the expected time."""
 
 
 class RateBasedRetryAfter(RetryAfterPolicy):
-    """The time until there is room, from the rate at which places get free, and a spread.
+    """Expected time until there is capacity, from the service rate, plus a spread.
 
-    Clients with least time left come at its beginning, others up to half as long again later.
+    Clients with the least time left retry first, others up to half as long again later.
 
-    >>> rates = RateBasedRetryAfter(lambda: 0.0)
-    >>> estimate = CapacityEstimate(occupied=90, usable_slots=30, service_rate_per_s=100.0, own_share=0.1)
-    >>> rates.retry_after_s("cards", estimate, 9.0, 0.0, 0.0), rates.retry_after_s("cards", estimate, 1.5, 1.0, 0)
-    (0.6, 0.5)
+    >>> policy = RateBasedRetryAfter(lambda: 0.0)
+    >>> estimate = CapacityEstimate(90, 30, service_rate_per_s=100.0, own_share=0.1)
+    >>> policy.retry_after_s("cards", estimate, 9.0, 0.0, 0.0)
+    0.6
+    >>> policy.retry_after_s("cards", estimate, 1.5, 1.0, 0)
+    0.5
     """
 
     def __init__(self, random_share: Callable[[], float] = random.random) -> None:
@@ -42,18 +44,20 @@
         remaining_share: float,
         now_s: float,
     ) -> float:
-        """Seconds after which to come back."""
+        """Retry-After in seconds."""
         expected_s = until_capacity_s(estimate)
         spread = JITTER_SHARE * (remaining_share + self._random_share()) / 2
-        # A client that does not come back within its time loses its answer.
+        # A client that retries after its deadline gets no answer.
         return min(MAX_REMAINING_SHARE * remaining_s, expected_s * (1 + spread))
 
 
 def until_capacity_s(estimate: CapacityEstimate) -> float:
     """Expected seconds until a service can answer in time again.
 
-    >>> until_capacity_s(CapacityEstimate(90, 30, 100.0, 0.1)), until_capacity_s(CapacityEstimate(0, 0, 0.0, 1.0))
-    (0.6, 0.5)
+    >>> until_capacity_s(CapacityEstimate(90, 30, 100.0, 0.1))
+    0.6
+    >>> until_capacity_s(CapacityEstimate(0, 0, 0.0, 1.0))
+    0.5
     """
     if estimate.service_rate_per_s <= 0:
         return (
--- a/src/bellweir/hosted/queueing/shares.py
+++ b/src/bellweir/hosted/queueing/shares.py
@@ -1,27 +1,28 @@
-"""Who lately got more of a service than its fair share, and who is less urgent than others.
+"""Detects tenants and priorities that recently used more than their fair share of a service.
 
-The load it answers: one tenant, or less urgent requests, so many that they take each place as it
-gets free. Most requests never wait in the queue, so that its order alone protects nobody. Those
-beyond their share leave a reserve to the others; it costs nothing while there is room.
+Most requests start without queueing, so that the queue discipline alone cannot protect tenants from
+a flood of others. Requests beyond their share leave a reserve of capacity, which costs nothing at
+low load.
 """
 
 from bellweir.hosted.queueing.interface import QueuedRequest
 
 HALF_LIFE_S = 1.0
-"""Requests count half after this time: long enough that a share is not one request's chance, short
-enough that a burst's end is known within a few answers."""
-BEYOND = 1.5
-"""Times an equal share that a tenant may have before it counts as beyond it."""
-LEAST_COUNT = 0.05
-"""A tenant or priority whose decayed count is below does not take part any more."""
-MOST_TENANTS = 4_096
+"""Long enough to average over single requests, short enough to notice the end of a burst quickly.
+"""
+MAX_SHARE_FACTOR = 1.5
+"""Multiple of an equal share up to which a tenant counts as within its share."""
+MIN_COUNT = 0.05
+"""Lower decayed counts are dropped."""
+MAX_TENANTS = 4_096
 
 
 class RecentShares:
-    """Decayed counts of the requests that came, by priority and tenant. Its owner's lock guards it.
+    """Decayed request counts by priority and tenant. Guarded by the owner's lock.
 
     >>> shares = RecentShares()
-    >>> large, small = QueuedRequest("l", "large", 5, 0, 9, 9), QueuedRequest("s", "small", 5, 0, 9, 9)
+    >>> large = QueuedRequest("l", "large", 5, 0, 9, 9)
+    >>> small = QueuedRequest("s", "small", 5, 0, 9, 9)
     >>> for one in (large, large, large, large, small):
     ...     shares.record(one, 0.0)
     >>> shares.exceeds_share(large), shares.exceeds_share(small)
@@ -41,18 +42,18 @@
         self._counts[key] = self._counts.get(key, 0.0) + 1.0
 
     def exceeds_share(self, request: QueuedRequest) -> bool:
-        """Whether more urgent requests come, too, or its tenant has more than its share."""
+        """Whether more urgent requests are present or the tenant is beyond its share."""
         equals = [n for (priority, _), n in self._counts.items() if priority == request.priority]
         if any(priority < request.priority for priority, _ in self._counts):
             return True
         own = self._counts.get((request.priority, request.tenant), 0.0)
-        return bool(equals) and own > BEYOND * sum(equals) / len(equals)
+        return bool(equals) and own > MAX_SHARE_FACTOR * sum(equals) / len(equals)
 
     def _decay(self, now_s: float) -> None:
-        passed_s = now_s - self._as_of_s
-        if passed_s < HALF_LIFE_S / 10 and len(self._counts) <= MOST_TENANTS:
+        elapsed_s = now_s - self._as_of_s
+        if elapsed_s < HALF_LIFE_S / 10 and len(self._counts) <= MAX_TENANTS:
             return
-        factor = 0.5 ** (passed_s / HALF_LIFE_S)
-        kept = {key: factor * n for key, n in self._counts.items() if factor * n >= LEAST_COUNT}
+        factor = 0.5 ** (elapsed_s / HALF_LIFE_S)
+        kept = {key: factor * n for key, n in self._counts.items() if factor * n >= MIN_COUNT}
         self._counts = kept
         self._as_of_s = now_s
--- a/src/bellweir/hosted/queueing/start_time_fair.py
+++ b/src/bellweir/hosted/queueing/start_time_fair.py
@@ -1,4 +1,4 @@
-"""Start-time fair queueing: a tenant's requests get start tags; the smallest goes first.
+"""Start-time fair queueing: requests get start tags in virtual time; the smallest is next.
 
 Goyal, Vin, Cheng: Start-time Fair Queueing, SIGCOMM 1996, with equal weights.
 """
@@ -6,12 +6,12 @@
 from bellweir.hosted.queueing.by_priority import PriorityDiscipline
 from bellweir.hosted.queueing.interface import QueuedRequest
 
-MOST_TENANTS = 4_096
-"""Tenants whose tags are kept; beyond it those that fell behind the virtual time go."""
+MAX_TENANTS = 4_096
+"""Beyond it, tags behind the virtual time are dropped."""
 
 
 class StartTimeFairQueueing(PriorityDiscipline):
-    """Counts what each tenant is given, that of requests that did not wait included.
+    """Fair queueing that also charges requests which did not wait.
 
     >>> discipline = StartTimeFairQueueing()
     >>> discipline.charge(QueuedRequest("l0", "large", 5, 0, 9, 9))
@@ -23,39 +23,39 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._tags: dict[int, _Tags] = {}
-        """By priority: a more urgent tenant's requests do not use up another one's share."""
+        self._states: dict[int, _FairQueueState] = {}
+        """By priority: urgent requests of a tenant do not use up its share in another priority."""
 
     def push(self, request: QueuedRequest) -> None:
-        """Add one."""
+        """Add a request."""
         self._queue.append(request)
 
     def peek(self) -> QueuedRequest | None:
         """The oldest request of the tenant with the smallest start tag."""
         return min(
-            self._first_class(),
-            key=lambda each: (self._of(each).start(each.tenant), each.arrived_s),
+            self._most_urgent(),
+            key=lambda each: (self._state(each).start(each.tenant), each.arrived_s),
             default=None,
         )
 
     def remove(self, request: QueuedRequest, *, served: bool) -> bool:
-        """Take one out; one that is served moves its tenant's tag on."""
-        if not self._take_out(request):
+        """Remove a request; a served one advances its tenant's finish tag."""
+        if not self._remove(request):
             return False
         if served:
             self.charge(request)
         return True
 
     def charge(self, request: QueuedRequest) -> None:
-        """Move a tenant's tag on by what one request costs."""
-        self._of(request).serve(request.tenant, request.cost_s)
+        """Advance a tenant's finish tag by the cost of a request."""
+        self._state(request).serve(request.tenant, request.cost_s)
 
-    def _of(self, request: QueuedRequest) -> "_Tags":
-        return self._tags.setdefault(request.priority, _Tags())
+    def _state(self, request: QueuedRequest) -> "_FairQueueState":
+        return self._states.setdefault(request.priority, _FairQueueState())
 
 
-class _Tags:
-    """Virtual time of one priority, and where what each tenant was given ends in it."""
+class _FairQueueState:
+    """Virtual time and the tenants' finish tags of one priority."""
 
     __slots__ = ("_finish", "_virtual")
 
@@ -68,9 +68,9 @@
         return max(self._virtual, self._finish.get(tenant, 0.0))
 
     def serve(self, tenant: str, cost: float) -> None:
-        """Give a tenant one request's cost; virtual time is the start tag of the one served."""
+        """Serve a request; virtual time becomes its start tag."""
         start = self.start(tenant)
         self._virtual = start
         self._finish[tenant] = start + cost
-        if len(self._finish) > MOST_TENANTS:
+        if len(self._finish) > MAX_TENANTS:
             self._finish = {one: end for one, end in self._finish.items() if end > start}
--- a/src/bellweir/hosted/room/__init__.py
+++ b/src/bellweir/hosted/room/__init__.py
@@ -1,1 +1,1 @@
-"""Room: whether a service can take a request now, in time, later or not at all."""
+"""Admission control: whether a service can take a request now, later or not at all."""
--- a/src/bellweir/hosted/room/interface.py
+++ b/src/bellweir/hosted/room/interface.py
@@ -1,4 +1,4 @@
-"""What a service can take now, as typed values and an abstract class."""
+"""Typed values and abstract class for admission control."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Sequence
@@ -6,7 +6,7 @@
 
 
 class WorkerCapacity:
-    """One worker's places as far as they are known.
+    """Known slots and load of one worker.
 
     >>> WorkerCapacity(slots=6, in_flight=9, service_time_s=0.04)
     WorkerCapacity(slots=6, in_flight=9, service_time_s=0.04, age_s=0.0)
@@ -17,10 +17,10 @@
     def __init__(
         self, slots: int, in_flight: float, service_time_s: float, age_s: float = 0.0
     ) -> None:
-        """`in_flight`: requests that run or wait there.
+        """`in_flight`: requests running or waiting at the worker.
 
-        `service_time_s`: median of its answers' times in seconds, 0 while unknown. `age_s`: age of the
-        newest word that the figures rest on.
+        `service_time_s`: time for which a request occupies a slot, 0 while unknown. `age_s`: age of
+        the oldest report that the figures rest on.
         """
         self.slots = max(1, slots)
         self.in_flight = in_flight
@@ -36,7 +36,7 @@
     def completion_s(self, ahead: float = 0.0) -> float:
         """Expected seconds until one more request, behind `ahead` others, is answered.
 
-        A place gets free each `service_time_s / slots` while all are taken.
+        While all slots are occupied, one is freed every `service_time_s / slots`.
 
         >>> WorkerCapacity(2, 0, 0.1).completion_s(), WorkerCapacity(2, 3, 0.1).completion_s()
         (0.1, 0.2)
@@ -45,15 +45,15 @@
 
 
 class TimeLimits:
-    """What the client of one request needs, in seconds from now."""
+    """Time limits of one request, in seconds from now."""
 
     __slots__ = ("max_wait_s", "remaining_s", "target_s")
 
     def __init__(self, remaining_s: float, target_s: float, max_wait_s: float) -> None:
-        """`remaining_s`: until it must have an answer.
+        """`remaining_s`: until the deadline.
 
-        `target_s`: within which the answer has its full worth. `max_wait_s`: for which it may still be
-        kept from a worker.
+        `target_s`: until the latency target. `max_wait_s`: for which the request may still be
+        queued.
         """
         self.remaining_s = remaining_s
         self.target_s = target_s
@@ -61,27 +61,28 @@
 
 
 class AdmissionAction(Enum):
-    """What becomes of a request now."""
+    """What to do with a request now."""
 
     START = "start"
-    """It goes to a worker."""
+    """Send it to a worker."""
     WAIT = "wait"
-    """It waits here; there may be room in time."""
+    """Queue it; there may be capacity in time."""
     REFUSE = "refuse"
-    """It is refused: expected beyond its deadline, or too late for its target."""
+    """Refuse it: it would miss its deadline, or its target by more than it may wait."""
 
 
 class AdmissionDecision:
-    """A verdict and what it rests on, for the log."""
+    """An action and the figures it rests on."""
 
     __slots__ = ("action", "age_s", "expected_s", "in_flight", "slots")
 
     def __init__(
         self, action: AdmissionAction, expected_s: float, in_flight: float, slots: int, age_s: float
     ) -> None:
-        """`expected_s`: seconds until the answer; 0 while unknown.
+        """`expected_s`: expected latency in seconds; 0 while unknown.
 
-        `in_flight` and `slots` are those of all workers, `age_s` the age of the oldest figure used.
+        `in_flight` and `slots` are totals of all workers, `age_s` is the age of the oldest figure
+        used.
         """
         self.action = action
         self.expected_s = expected_s
@@ -90,15 +91,15 @@
         self.age_s = age_s
 
     def with_action(self, action: AdmissionAction) -> "AdmissionDecision":
-        """Another verdict on the same figures."""
+        """Another action on the same figures."""
         return AdmissionDecision(action, self.expected_s, self.in_flight, self.slots, self.age_s)
 
 
 class AdmissionPolicy(ABC):
-    """Judges whether a service can take a request. Without state, so safe for threads."""
+    """Decides whether a service can take a request. Stateless, so safe for threads."""
 
     @abstractmethod
     def decide(
         self, workers: Sequence[WorkerCapacity], limits: TimeLimits, ahead: int = 0
     ) -> AdmissionDecision:
-        """Judge one request behind `ahead` others that have no place yet."""
+        """Decide on one request behind `ahead` others that are not at a worker yet."""
