--- a/experiments/room.py
+++ b/experiments/room.py
@@ -7,8 +7,8 @@
 import sys
 from collections import Counter
 
+from features.support.alternative_policies import AppointmentRetryAfter, DeficitRoundRobin
 from features.support.room_replay import Replay, burst
-from features.support.room_ways import AppointmentRetryAfter, DeficitRoundRobin
 
 from bellweir.hosted.queueing.interface import RetryAfterPolicy
 from bellweir.hosted.queueing.retry_after import RateBasedRetryAfter
--- a/features/steps/hosted_room_gateway_steps.py
+++ b/features/steps/hosted_room_gateway_steps.py
@@ -1,4 +1,4 @@
-"""Room and refusal at a hosted gateway in this process, before stand-ins of workers."""
+"""Steps for admission control at a hosted gateway in this process, with simulated workers."""
 
 import io
 
@@ -14,10 +14,10 @@
 from bellweir.hosted.sight.worker_load import WorkerLoad
 from bellweir_rehearsal.hosted.worker import WorkerStandIn
 
-USUAL_S = 0.1
+LATENCY_S = 0.1
 URGENCY = "X-Bellweir-Urgency-Class"
 TENANTS = {"of priority 0": 0, "of priority 12": 12, "without a priority": None}
-OFF = RoomSettings(
+DISABLED = RoomSettings(
     queue=False,
     refuse_hopeless=False,
     shed=False,
@@ -27,26 +27,26 @@
 )
 
 
-def start(context, in_hand, room_settings=None):
+def start(context, in_flight, room_settings=None):
     context.workers = {name: WorkerStandIn(f"i-{name}") for name in "ab"}
     context.gateway = GatewayUnderTest(list(context.workers.values()), room_settings=room_settings)
     context.cleanup.callback(context.gateway.close)
     for worker in context.workers.values():
         context.cleanup.callback(worker.close)
-    see(context, 0)
-    # Usual times are learnt while nobody waits at the workers.
+    set_stats(context, 0)
+    # Service times are learnt while no request waits at the workers.
     assert context.gateway.send("/idempotent/x").status == 200
-    see(context, in_hand)
+    set_stats(context, in_flight)
     context.log = io.StringIO()
     configure_logs("debug", "json", context.log)
     context.cleanup.callback(configure_logs, "info", "json", io.StringIO())
 
 
-def see(context, in_hand, names="ab", age_s=0.05, **more):
+def set_stats(context, in_flight, names="ab", age_s=0.05, **more):
     for name in names:
         incarnation = context.gateway.workers.worker(f"i-{name}").incarnation
         context.gateway.known_workers.told[incarnation] = WorkerStats(
-            incarnation, in_hand, USUAL_S, USUAL_S, age_s, **more
+            incarnation, in_flight, LATENCY_S, LATENCY_S, age_s, **more
         )
 
 
@@ -55,35 +55,37 @@
     return [line for line in lines if line.fields.get("request_id") == request_id]
 
 
-def ran(context, request_id):
+def run_count(context, request_id):
     return sum(worker.record.ran[request_id] for worker in context.workers.values())
 
 
-@given_step("a gateway whose workers are known, each with {number:d} requests of others in hand")
+@given_step(
+    "a gateway with known workers, each with {number:d} requests of other gateways in flight"
+)
 def given_known(context, number):
     start(context, number)
 
 
 @given_step(
-    "a gateway without decisions on room, its workers each with {number:d} requests in hand"
+    "a gateway without admission control, its workers each with {number:d} requests in flight"
 )
-def given_off(context, number):
-    start(context, number, OFF)
+def given_disabled(context, number):
+    start(context, number, DISABLED)
 
 
-@given_step("it has heard nothing of other gateways for {seconds:d} s")
-def given_cut_off(context, seconds):
-    see(context, 60, age_s=float(seconds))
+@given_step("it received nothing from other gateways for {seconds:d} s")
+def given_isolated(context, seconds):
+    set_stats(context, 60, age_s=float(seconds))
 
 
-@given_step("one worker without any is set aside")
-def given_set_aside(context):
-    see(context, 0, "a", is_ejected=True)
+@given_step("one worker without requests is ejected")
+def given_ejected(context):
+    set_stats(context, 0, "a", is_ejected=True)
 
 
-@given_step("each of them said {before:d} ms ago that it had {number:d}")
-def given_told(context, before, number):
-    see(context, 0, load=WorkerLoad(8, number - 8, 8), load_age_s=before / 1000)
+@given_step("each of them reported {number:d} requests {before:d} ms ago")
+def given_reported_load(context, before, number):
+    set_stats(context, 0, load=WorkerLoad(8, number - 8, 8), load_age_s=before / 1000)
 
 
 @given_step("a gateway before {service} whose tenants have priorities")
@@ -122,13 +124,13 @@
 
 
 @when("a client sends a request that may take 2 s, and leaves")
-def when_left(context):
+def when_client_leaves(context):
     context.request_id = context.gateway.send_and_leave("/idempotent/x")
 
 
-@when("the others' requests at one worker end")
+@when("the other gateways' requests at one worker end")
 def when_ended(context):
-    see(context, 1, "b")
+    set_stats(context, 1, "b")
     context.sending.result(10.0)
 
 
@@ -142,13 +144,13 @@
     context.answer = context.gateway.send("/idempotent/x", more=(authorization,))
 
 
-@then("it waits at the gateway")
+@then("it is queued at the gateway")
 def then_waits(context):
-    context.wait_until(lambda: context.gateway.gate.queue_length() == 1, "a request that waits")
+    context.wait_until(lambda: context.gateway.gate.queue_length() == 1, "a queued request")
 
 
-@then("nothing waits any more, and no worker ran it")
-def then_gone(context):
+@then("the queue is empty, and no worker ran it")
+def then_queue_empty(context):
     context.wait_until(
         lambda: any(
             line.event == "request_given_up" for line in lines_of(context, context.request_id)
@@ -156,24 +158,24 @@
         "the end of a request whose client left",
     )
     assert context.gateway.gate.queue_length() == 0
-    assert ran(context, context.request_id) == 0
+    assert run_count(context, context.request_id) == 0
 
 
-@then("it gets 503, no worker ran it, and it may come back within a third of its time")
+@then("it gets 503, no worker ran it, and Retry-After is within a third of its time")
 def then_refused(context):
     answer = context.answer
     assert answer.status == 503, answer
-    assert ran(context, answer.request_id) == 0
+    assert run_count(context, answer.request_id) == 0
     assert 0 < float(answer.headers["Retry-After"]) <= 0.1, answer.headers["Retry-After"]
 
 
 @then("a worker ran it, and it gets 200")
 def then_ran(context):
     assert context.answer.status == 200, context.answer
-    assert ran(context, context.answer.request_id) == 1
+    assert run_count(context, context.answer.request_id) == 1
 
 
-@then("its log line tells what was known, and the explanation of its id says so")
+@then("its log line and the explanation of its id give the figures of the decision")
 def then_explained(context):
     lines = lines_of(context, context.answer.request_id)
     refused = next(line for line in lines if line.event == "request_refused")
@@ -190,18 +192,18 @@
     assert context.gateway.refused == ["at_once"], context.gateway.refused
 
 
-@then("the explanation of its id tells the wait")
+@then("the explanation of its id mentions the wait")
 def then_wait_explained(context):
     told = explain(context.answer.request_id, lines_of(context, context.answer.request_id))
     assert "it waited" in told, told
     assert "(room)" in told, told
 
 
-@then("its worker was told the urgency {urgency}")
+@then("its worker received the urgency {urgency}")
 def then_urgency(context, urgency):
     assert context.answer.status == 200, context.answer
     request_id = context.answer.request_id
     found = [worker.record.headers.get(request_id) for worker in context.workers.values()]
     (headers,) = [each for each in found if each is not None]
-    wanted = None if urgency == "nobody told" else urgency
+    wanted = None if urgency == "none" else urgency
     assert headers.get(URGENCY.lower()) == wanted, headers
--- a/features/steps/hosted_room_steps.py
+++ b/features/steps/hosted_room_steps.py
@@ -1,4 +1,4 @@
-"""Decisions on room and on the order of requests that wait, on replayed load."""
+"""Steps for admission control and queueing, on replayed load."""
 
 import random
 from collections import Counter
@@ -6,8 +6,8 @@
 import hypothesis.strategies as st
 from behave import given as given_step
 from behave import then
+from features.support.alternative_policies import AppointmentRetryAfter, DeficitRoundRobin
 from features.support.room_replay import Replay, burst
-from features.support.room_ways import AppointmentRetryAfter, DeficitRoundRobin
 from hypothesis import given, settings
 
 from bellweir.hosted.queueing.admission_queue import AdmissionQueue
@@ -18,11 +18,11 @@
 from bellweir.hosted.room.interface import AdmissionAction, TimeLimits, WorkerCapacity
 from bellweir.hosted.room.policy import MIN_UTILIZATION, ExpectedLatencyPolicy
 
-USUAL_S = 0.0375
-HALF_SLOW = (USUAL_S, USUAL_S, 8 * USUAL_S, 8 * USUAL_S)
+SERVICE_TIME_S = 0.0375
+HALF_SLOW = (SERVICE_TIME_S, SERVICE_TIME_S, 8 * SERVICE_TIME_S, 8 * SERVICE_TIME_S)
 LARGE = {"large": 0.8} | {f"small-{number}": 0.02 for number in range(10)}
 IN_TIME = ("in_time", "in_time_after_refusal")
-ORDERS = (StartTimeFairQueueing, DeficitRoundRobin)
+DISCIPLINES = (StartTimeFairQueueing, DeficitRoundRobin)
 BOUND = 16
 FULL = [WorkerCapacity(6, 30, 0.04)]
 EMPTY = [WorkerCapacity(6, 0, 0.04)]
@@ -38,7 +38,7 @@
 )
 
 
-def play(context, discipline=StartTimeFairQueueing, reserve=True, **switches):
+def replay_load(context, discipline=StartTimeFairQueueing, reserve=True, **switches):
     kept = [
         RateBasedRetryAfter(random.Random(3).random) for _ in range(getattr(context, "gateways", 4))
     ]
@@ -46,12 +46,12 @@
     more = {"gateways": len(kept), "sight_age_s": getattr(context, "sight_age_s", 0.1)}
     replay = Replay(policy, discipline, kept.__getitem__, context.times_s, reserve=reserve, **more)
     found = replay.run(context.arrivals)
-    assert sum(found.values()) == len(context.arrivals), "a client has no end"
+    assert sum(found.values()) == len(context.arrivals), "a client has no outcome"
     return replay, found
 
 
-def play_starting(context):
-    return play(context, waits=False, refuses=False, sheds=False)
+def replay_without_admission(context):
+    return replay_load(context, waits=False, refuses=False, sheds=False)
 
 
 def share(found, states, is_meant=lambda _tenant: True):
@@ -76,37 +76,39 @@
     )
 
 
-@given_step("requests 14 times as many for 10 s, and half of the workers slow")
+@given_step("a burst of 14 times the requests for 10 s, and half of the workers slow")
 def given_burst(context):
     context.arrivals, context.times_s = burst(1, 6), HALF_SLOW
 
 
-@given_step("requests beyond all workers for 10 s")
-def given_beyond(context):
+@given_step("a burst beyond the capacity of all workers for 10 s")
+def given_overload(context):
     context.arrivals, context.times_s = burst(1, 60), HALF_SLOW
 
 
-@given_step("{number:d} gateways that hear of each other each {milliseconds:d} ms")
+@given_step("{number:d} gateways that hear of each other every {milliseconds:d} ms")
 def given_gateways(context, number, milliseconds):
     context.gateways, context.sight_age_s = number, milliseconds / 1000
 
 
-@then("more are answered in time than where every request starts at once, and no more are refused")
+@then(
+    "more are answered in time than if every request started immediately, and no more are refused"
+)
 def then_more_though_late(context):
-    _, starting = play_starting(context)
-    _, found = play(context)
-    assert share(found, IN_TIME) > share(starting, IN_TIME), (found, starting)
+    _, baseline = replay_without_admission(context)
+    _, found = replay_load(context)
+    assert share(found, IN_TIME) > share(baseline, IN_TIME), (found, baseline)
     lost = ("refused", "lost")
-    assert share(found, lost) < share(starting, lost) + 0.01, (found, starting)
+    assert share(found, lost) < share(baseline, lost) + 0.01, (found, baseline)
 
 
-@given_step("a tenant with 80% of the requests, beyond all workers for 10 s")
-def given_large(context):
+@given_step("a tenant with 80% of the requests, beyond the capacity of all workers for 10 s")
+def given_large_tenant(context):
     context.arrivals = burst(1, 60, tenants=LARGE)
-    context.times_s = (USUAL_S,) * 4
+    context.times_s = (SERVICE_TIME_S,) * 4
 
 
-@then("a request starts while a worker has room, is unknown, or there is no worker at all")
+@then("a request starts if a worker has free slots or unknown latency, or there is no worker")
 def then_starts(context):
     policy, limits = ExpectedLatencyPolicy(), TimeLimits(1.5, 0.2, 0.025)
     unknown = WorkerCapacity(6, 90, 0.0)
@@ -114,7 +116,7 @@
         assert policy.decide(workers, limits).action is AdmissionAction.START, workers
 
 
-@then("nobody is refused while under half of the slots are taken")
+@then("no request is refused while less than half of the slots are in use")
 def then_not_refused(context):
     @settings(max_examples=300, derandomize=True, deadline=None)
     @given(rooms, needs, st.integers(0, 20))
@@ -130,37 +132,42 @@
     holds()
 
 
-@then("no client fares worse than where every request starts at once")
+@then("no client fares worse than if every request started immediately")
 def then_not_worse(context):
-    _, starting = play_starting(context)
-    _, found = play(context)
-    assert share(found, IN_TIME) >= share(starting, IN_TIME), (found, starting)
+    _, baseline = replay_without_admission(context)
+    _, found = replay_load(context)
+    assert share(found, IN_TIME) >= share(baseline, IN_TIME), (found, baseline)
     assert not share(found, ("refused", "lost")), found
 
 
-@then("more are answered in time than where every request starts at once, with half of the offers")
+@then(
+    "more are answered in time than if every request started immediately, with half of the attempts"
+)
 def then_more(context):
-    starts, starting = play_starting(context)
-    context.replay, found = play(context)
-    assert share(found, IN_TIME) > share(starting, IN_TIME), (found, starting)
-    assert context.replay.offered < starts.offered / 2, (context.replay.offered, starts.offered)
+    unlimited, baseline = replay_without_admission(context)
+    context.replay, found = replay_load(context)
+    assert share(found, IN_TIME) > share(baseline, IN_TIME), (found, baseline)
+    assert context.replay.offered < unlimited.offered / 2, (
+        context.replay.offered,
+        unlimited.offered,
+    )
 
 
-@then("no more waited than the queue may hold")
+@then("the queue never exceeded its maximum length")
 def then_bounded(context):
     assert 0 < context.replay.longest_queue <= 64, context.replay.longest_queue
 
 
 @then("small tenants are served in time more often than the large one")
 def then_fair(context):
-    _, context.fair = play(context)
+    _, context.fair = replay_load(context)
     small = share(context.fair, IN_TIME, is_small)
     assert small > share(context.fair, IN_TIME, lambda each: not is_small(each)), context.fair
 
 
-@then("more often than without a reserve for them, while the large one is served, too")
+@then("more often than without a reserve for them, while the large one is still served")
 def then_reserved(context):
-    _, found = play(context, reserve=False)
+    _, found = replay_load(context, reserve=False)
     assert share(context.fair, IN_TIME, is_small) > share(found, IN_TIME, is_small)
     large, before = (
         share(each, IN_TIME, lambda name: name == "large") for each in (context.fair, found)
@@ -168,15 +175,15 @@
     assert large > 0.9 * before, (large, before)
 
 
-@given_step("half of the requests more urgent, beyond all workers for 10 s")
+@given_step("half of the requests more urgent, beyond the capacity of all workers for 10 s")
 def given_urgent(context):
     context.arrivals = burst(1, 60, tenants={"urgent": 0.5, "other": 0.5}, urgent=("urgent",))
-    context.times_s = (USUAL_S,) * 4
+    context.times_s = (SERVICE_TIME_S,) * 4
 
 
-@then("the more urgent are served in time more often, while the others are served, too")
+@then("the more urgent are served in time more often, while the others are still served")
 def then_urgent(context):
-    _, found = play(context)
+    _, found = replay_load(context)
     urgent, others = (
         share(found, IN_TIME, lambda each, meant=name: each == meant)
         for name in ("urgent", "other")
@@ -184,7 +191,9 @@
     assert urgent > others > 0.5, (urgent, others)
 
 
-@then("a tenant alone or among equals is not beyond its share, and a flood is until it ends")
+@then(
+    "a tenant alone or among equals is within its share, and a flooding tenant is not until it ends"
+)
 def then_shares(context):
     alone, equals, flooded = RecentShares(), RecentShares(), RecentShares()
     for number in range(100):
@@ -197,7 +206,7 @@
     for number in range(100):
         flooded.record(queued_request(number, "abcd"[number % 4]), 5.0 + 0.01 * number)
     assert not flooded.exceeds_share(queued_request(0, "a")), (
-        "a flood is held against its tenant for ever"
+        "a tenant stays beyond its share after its flood"
     )
 
 
@@ -205,52 +214,52 @@
 def then_without_workers(context):
     queue = AdmissionQueue(ExpectedLatencyPolicy(), StartTimeFairQueueing(), BOUND)
     decision, _ = queue.submit(queued_request(1), [], 0.0)
-    assert decision.action is AdmissionAction.START, "nobody is there to be waited for"
+    assert decision.action is AdmissionAction.START, "waiting cannot help without workers"
 
 
-@then("their clients are told when to come back")
-def then_told(context):
+@then("their clients get a Retry-After")
+def then_retry_after(context):
     estimate = CapacityEstimate.from_workers([], 0.2, 0, 0.0)
-    for way in (RateBasedRetryAfter(), AppointmentRetryAfter()):
-        assert 0 < way.retry_after_s("cards", estimate, 1.5, 1.0, 0.0) <= 0.5
+    for policy in (RateBasedRetryAfter(), AppointmentRetryAfter()):
+        assert 0 < policy.retry_after_s("cards", estimate, 1.5, 1.0, 0.0) <= 0.5
 
 
-@then("whatever comes and goes, the most urgent go first and no tenant is passed over for long")
-def then_ordered(context):
+@then("under any arrivals, the most urgent go first and no tenant is starved")
+def then_fairly_ordered(context):
     @settings(max_examples=200, derandomize=True, deadline=None)
-    @given(arrivals, st.sampled_from(ORDERS))
-    def holds(arriving, order_of):
-        discipline = order_of()
+    @given(arrivals, st.sampled_from(DISCIPLINES))
+    def holds(arriving, make_discipline):
+        discipline = make_discipline()
         for number, (tenant, priority, _) in enumerate(arriving):
             discipline.push(queued_request(number, tenant, priority))
-        passed_over = Counter()
+        skipped = Counter()
         while (first := discipline.peek()) is not None:
             equals = [each for each in discipline.all() if each.priority == first.priority]
             assert first.priority == min(each.priority for each in discipline.all())
             own = [each for each in equals if each.tenant == first.tenant]
-            assert own[0] is first, "a tenant's own requests changed places"
+            assert own[0] is first, "requests of one tenant were reordered"
             for tenant in {each.tenant for each in equals}:
-                passed_over[tenant, first.priority] += 1
-            passed_over[first.tenant, first.priority] = 0
-            assert max(passed_over.values()) <= 2 * len("abcd"), "a tenant waits too long"
+                skipped[tenant, first.priority] += 1
+            skipped[first.tenant, first.priority] = 0
+            assert max(skipped.values()) <= 2 * len("abcd"), "a tenant is starved"
             assert discipline.remove(first, served=True)
 
     holds()
 
 
-@then("the queue never holds more than its bound, and who is let go was in it")
+@then("the queue never exceeds its bound, and each request is released once")
 def then_queue_bounded(context):
     @settings(max_examples=200, derandomize=True, deadline=None)
-    @given(arrivals, st.sampled_from(ORDERS), st.integers(0, 40))
-    def holds(arriving, order_of, in_flight):
-        queue, now_s = AdmissionQueue(ExpectedLatencyPolicy(), order_of(), BOUND), 0.0
+    @given(arrivals, st.sampled_from(DISCIPLINES), st.integers(0, 40))
+    def holds(arriving, make_discipline, in_flight):
+        queue, now_s = AdmissionQueue(ExpectedLatencyPolicy(), make_discipline(), BOUND), 0.0
         workers = [WorkerCapacity(6, in_flight, 0.04)]
         inside, ended = [], []
         for number, (tenant, priority, wait_s) in enumerate(arriving):
             now_s += 0.001
-            asked = queued_request(number, tenant, priority, now_s, wait_s)
-            decision, displaced = queue.submit(asked, workers, now_s)
-            (inside if decision.action is AdmissionAction.WAIT else ended).append(asked)
+            request = queued_request(number, tenant, priority, now_s, wait_s)
+            decision, displaced = queue.submit(request, workers, now_s)
+            (inside if decision.action is AdmissionAction.WAIT else ended).append(request)
             if displaced is not None:
                 inside.remove(displaced)
                 ended.append(displaced)
@@ -258,33 +267,33 @@
         for released in queue.release_ready(workers, now_s + 0.5):
             inside.remove(released.request)
             ended.append(released.request)
-        assert not inside, "one waits beyond its time"
-        assert len(queue) == 0, "the queue holds one that was let go"
-        assert len({id(each) for each in ended}) == len(arriving), "one has two ends"
+        assert not inside, "a request waits beyond its limit"
+        assert len(queue) == 0, "the queue holds a released request"
+        assert len({id(each) for each in ended}) == len(arriving), "a request was released twice"
 
     holds()
 
 
-@then("one whose deadline can't be met any more is refused before its deadline")
-def then_hopeless(context):
+@then("a request that can no longer meet its deadline is refused before it")
+def then_refused_after_wait(context):
     queue = AdmissionQueue(ExpectedLatencyPolicy(sheds=False), StartTimeFairQueueing(), BOUND)
-    asked = queued_request(1, deadline_s=0.5)
-    decision, _ = queue.submit(asked, [WorkerCapacity(6, 24, 0.04)], 0.0)
+    request = queued_request(1, deadline_s=0.5)
+    decision, _ = queue.submit(request, [WorkerCapacity(6, 24, 0.04)], 0.0)
     assert decision.action is AdmissionAction.WAIT, decision.action
     (released,) = queue.release_ready([WorkerCapacity(6, 120, 0.04)], 0.01)
-    assert released.request is asked
+    assert released.request is request
     assert released.cause is ReleaseCause.HOPELESS
 
 
-@then("a time to come back is at most a third of what the client has left")
+@then("Retry-After is at most a third of the client's remaining time")
 def then_a_third(context):
     @settings(max_examples=200, derandomize=True, deadline=None)
     @given(rooms, st.floats(0, 10), st.floats(0, 1), st.integers(0, 40))
     def holds(workers, remaining_s, remaining_share, number):
         estimate = CapacityEstimate.from_workers(workers, 0.2, number, 1.0)
-        for way in (RateBasedRetryAfter(), AppointmentRetryAfter()):
+        for policy in (RateBasedRetryAfter(), AppointmentRetryAfter()):
             for _ in range(3):
-                retry_after_s = way.retry_after_s(
+                retry_after_s = policy.retry_after_s(
                     "cards", estimate, remaining_s, remaining_share, 5.0
                 )
                 assert 0 <= retry_after_s <= remaining_s / 3 + 1e-9
@@ -292,7 +301,7 @@
     holds()
 
 
-@then("clients that have least time left come back first, and not all at once")
+@then("clients with the least time left retry first, and not all at once")
 def then_spread(context):
     estimate = CapacityEstimate.from_workers([WorkerCapacity(6, 30, 0.04)] * 4, 0.1, 10, 5.0)
     rates = RateBasedRetryAfter(lambda: 0.5)
--- a/features/support/alternative_policies.py
+++ b/features/support/alternative_policies.py
@@ -1,4 +1,4 @@
-"""Ways to order and to call back that were weighed against those in use."""
+"""A queue discipline and a Retry-After policy to compare with those in use."""
 
 from bellweir.hosted.queueing.by_priority import PriorityDiscipline
 from bellweir.hosted.queueing.interface import CapacityEstimate, QueuedRequest, RetryAfterPolicy
@@ -10,18 +10,18 @@
 
 
 class DeficitRoundRobin(PriorityDiscipline):
-    """Each tenant that waits gets a quantum a turn, kept until its last request."""
+    """Gives each waiting tenant a quantum per round, kept until its last request."""
 
     def __init__(self, quantum_s: float = 0.05) -> None:
-        """`quantum_s`: seconds of a place that a turn gives."""
+        """`quantum_s`: seconds of a slot per round."""
         super().__init__()
         self._quantum_s = quantum_s
         self._credit_s: dict[tuple[int, str], float] = {}
         self._turns: list[tuple[int, str]] = []
-        """Priorities and tenants that wait, in the order of their turns."""
+        """Waiting tenants with their priorities, in round-robin order."""
 
     def push(self, request: QueuedRequest) -> None:
-        """Add one."""
+        """Add a request."""
         self._queue.append(request)
         key = (request.priority, request.tenant)
         if key not in self._credit_s:
@@ -29,9 +29,12 @@
             self._turns.append(key)
 
     def peek(self) -> QueuedRequest | None:
-        """The oldest request of the tenant whose turn it is; gives turns until one can pay."""
+        """The oldest request of the next tenant with enough credit.
+
+        Adds quanta until there is one.
+        """
         oldest: dict[tuple[int, str], QueuedRequest] = {}
-        for each in self._first_class():
+        for each in self._most_urgent():
             oldest.setdefault((each.priority, each.tenant), each)
         if not oldest:
             return None
@@ -43,8 +46,11 @@
                 self._credit_s[key] += self._quantum_s
 
     def remove(self, request: QueuedRequest, *, served: bool) -> bool:
-        """Take one out; one that is served uses its tenant's credit up, and the turn goes on."""
-        if not self._take_out(request):
+        """Remove a request; a served one uses its tenant's credit.
+
+        The tenant moves to the end of the round.
+        """
+        if not self._remove(request):
             return False
         key = (request.priority, request.tenant)
         if served:
@@ -57,13 +63,13 @@
         return True
 
     def charge(self, request: QueuedRequest) -> None:
-        """Nothing: only those that wait take turns."""
+        """Does nothing: only waiting requests take turns."""
 
 
 class AppointmentRetryAfter(RetryAfterPolicy):
-    """An appointment for each client: the first when there is room, each further one behind it.
+    """Gives each refused client its own time: the first when there is capacity, then one by one.
 
-    Between two lies the time in which a place gets free for this gateway's share.
+    Consecutive times are apart by the time in which a slot is freed for this gateway's share.
     """
 
     def __init__(self) -> None:
@@ -77,7 +83,7 @@
         remaining_share: float,
         now_s: float,
     ) -> float:
-        """Seconds after which to come back; those with least time left up to half a gap early."""
+        """Retry-After in seconds; clients with the least time left up to half a gap early."""
         first_s = now_s + until_capacity_s(estimate)
         at_s = max(first_s, self._next_s.get(service, 0.0))
         rate = estimate.service_rate_per_s * estimate.own_share
--- a/features/support/room_replay.py
+++ b/features/support/room_replay.py
@@ -1,6 +1,7 @@
-"""Replays load against the decisions on room: gateways, workers and clients without a network.
+"""Replays load against the admission control: simulated gateways, workers and clients.
 
-Time is counted by events. Gateways see each other's requests in hand, as old as `sight_age_s`.
+Time is simulated by events. Gateways know each other's requests in flight with an age of up to
+`sight_age_s`.
 """
 
 import heapq
@@ -22,7 +23,7 @@
 
 
 class Replay:
-    """Plays arrivals `(time, tenant, priority)` and counts how their clients fared."""
+    """Replays arrivals `(time, tenant, priority)` and counts the outcomes of their clients."""
 
     def __init__(
         self,
@@ -86,7 +87,7 @@
         self._at(now_s + self.sight_age_s, self._share)
 
     def _room(self, gateway, now_s, max_age_s=float("inf")):
-        """As `room.observed` has it: the others' requests count while the word is fresh."""
+        """Like `room.observed`: the others' requests count while the report is fresh."""
         age_s = now_s - self.shared_s
         is_fresh = age_s <= max_age_s
         return [
@@ -137,7 +138,7 @@
             self.looking.discard(gateway)
 
     def _offer(self, now_s, gateway, client):
-        """At the best worker; a full one refuses, and the others are tried in turn."""
+        """Send to the best worker; full workers refuse, and the others are tried in turn."""
         self.admission_queues[gateway].dispatch_done()
         rooms = self._room(gateway, now_s)
         self.started.append((now_s, client.tenant))
@@ -209,7 +210,7 @@
     tenants=None,
     urgent=(),
 ):
-    """Arrivals at a rate, `factor` times as many for `length_s`; tenants by their shares.
+    """Arrivals at a rate, `factor` times higher for `length_s`; tenants by their shares.
 
     Requests of the tenants in `urgent` have priority 0.
     """
