--- a/experiments/room.py
+++ b/experiments/room.py
@@ -93,7 +93,7 @@
                 kept = [make() for _ in range(4)]
                 replay = Replay(policy, discipline, kept.__getitem__, times_s, reserve=reserve)
                 totals[name] = totals.get(name, Counter()) + replay.run(arrivals)
-                offered[name] += replay.offered
+                offered[name] += replay.attempts
         print(f"\n{load}: {rate} a second, 14 times as many for 10 s")
         for name, found in totals.items():
             print(f"{name:22}", _line(found), f"offers {offered[name]}")
@@ -105,7 +105,7 @@
 def ages(seeds):
     """One large tenant, by how often gateways hear of each other and the age that counts."""
     rate, times_s, tenants = LOADS["one large tenant"]
-    for sight_age_s, gateways in ((0.1, 4), (0.1, 12), (0.5, 4), (0.5, 12)):
+    for report_interval_s, gateways in ((0.1, 4), (0.1, 12), (0.5, 4), (0.5, 12)):
         for share in (None, 0.25, FRESH_TARGET_SHARE, 1.0, float("inf")):
             total = Counter()
             for seed in seeds:
@@ -115,12 +115,12 @@
                 policy = ExpectedLatencyPolicy(waits=decides, refuses=decides, sheds=decides)
                 how = {
                     "gateways": gateways,
-                    "sight_age_s": sight_age_s,
+                    "report_interval_s": report_interval_s,
                     "fresh_share": share or 0.0,
                 }
                 replay = Replay(policy, StartTimeFairQueueing, kept.__getitem__, times_s, **how)
                 total += replay.run(burst(seed, rate, tenants=tenants))
-            print(f"{gateways} gateways, {sight_age_s} s, share {share}:", _line(total))
+            print(f"{gateways} gateways, {report_interval_s} s, share {share}:", _line(total))
 
 
 def _line(found):
--- a/features/steps/hosted_room_steps.py
+++ b/features/steps/hosted_room_steps.py
@@ -27,10 +27,10 @@
 FULL = [WorkerCapacity(6, 30, 0.04)]
 EMPTY = [WorkerCapacity(6, 0, 0.04)]
 
-rooms = st.lists(
+capacities = st.lists(
     st.builds(WorkerCapacity, st.integers(1, 16), st.integers(0, 200), st.floats(0, 5)), max_size=6
 )
-needs = st.builds(TimeLimits, st.floats(0, 10), st.floats(0, 2), st.floats(0, 0.5))
+time_limits = st.builds(TimeLimits, st.floats(0, 10), st.floats(0, 2), st.floats(0, 0.5))
 arrivals = st.lists(
     st.tuples(st.sampled_from("abcd"), st.integers(0, 3), st.floats(0.01, 0.2)),
     min_size=1,
@@ -39,23 +39,33 @@
 
 
 def replay_load(context, discipline=StartTimeFairQueueing, reserve=True, **switches):
-    kept = [
+    retry_policies = [
         RateBasedRetryAfter(random.Random(3).random) for _ in range(getattr(context, "gateways", 4))
     ]
     policy = ExpectedLatencyPolicy(**switches)
-    more = {"gateways": len(kept), "sight_age_s": getattr(context, "sight_age_s", 0.1)}
-    replay = Replay(policy, discipline, kept.__getitem__, context.times_s, reserve=reserve, **more)
-    found = replay.run(context.arrivals)
-    assert sum(found.values()) == len(context.arrivals), "a client has no outcome"
-    return replay, found
+    more = {
+        "gateways": len(retry_policies),
+        "report_interval_s": getattr(context, "report_interval_s", 0.1),
+    }
+    replay = Replay(
+        policy,
+        discipline,
+        retry_policies.__getitem__,
+        context.service_times_s,
+        reserve=reserve,
+        **more,
+    )
+    outcomes = replay.run(context.arrivals)
+    assert sum(outcomes.values()) == len(context.arrivals), "a client has no outcome"
+    return replay, outcomes
 
 
 def replay_without_admission(context):
     return replay_load(context, waits=False, refuses=False, sheds=False)
 
 
-def share(found, states, is_meant=lambda _tenant: True):
-    meant = {key: number for key, number in found.items() if is_meant(key[0])}
+def share(outcomes, states, is_meant=lambda _tenant: True):
+    meant = {key: number for key, number in outcomes.items() if is_meant(key[0])}
     return sum(n for key, n in meant.items() if key[1] in states) / sum(meant.values())
 
 
@@ -78,17 +88,17 @@
 
 @given_step("a burst of 14 times the requests for 10 s, and half of the workers slow")
 def given_burst(context):
-    context.arrivals, context.times_s = burst(1, 6), HALF_SLOW
+    context.arrivals, context.service_times_s = burst(1, 6), HALF_SLOW
 
 
 @given_step("a burst beyond the capacity of all workers for 10 s")
 def given_overload(context):
-    context.arrivals, context.times_s = burst(1, 60), HALF_SLOW
+    context.arrivals, context.service_times_s = burst(1, 60), HALF_SLOW
 
 
 @given_step("{number:d} gateways that hear of each other every {milliseconds:d} ms")
 def given_gateways(context, number, milliseconds):
-    context.gateways, context.sight_age_s = number, milliseconds / 1000
+    context.gateways, context.report_interval_s = number, milliseconds / 1000
 
 
 @then(
@@ -96,16 +106,16 @@
 )
 def then_more_though_late(context):
     _, baseline = replay_without_admission(context)
-    _, found = replay_load(context)
-    assert share(found, IN_TIME) > share(baseline, IN_TIME), (found, baseline)
+    _, outcomes = replay_load(context)
+    assert share(outcomes, IN_TIME) > share(baseline, IN_TIME), (outcomes, baseline)
     lost = ("refused", "lost")
-    assert share(found, lost) < share(baseline, lost) + 0.01, (found, baseline)
+    assert share(outcomes, lost) < share(baseline, lost) + 0.01, (outcomes, baseline)
 
 
 @given_step("a tenant with 80% of the requests, beyond the capacity of all workers for 10 s")
 def given_large_tenant(context):
     context.arrivals = burst(1, 60, tenants=LARGE)
-    context.times_s = (SERVICE_TIME_S,) * 4
+    context.service_times_s = (SERVICE_TIME_S,) * 4
 
 
 @then("a request starts if a worker has free slots or unknown latency, or there is no worker")
@@ -119,14 +129,14 @@
 @then("no request is refused while less than half of the slots are in use")
 def then_not_refused(context):
     @settings(max_examples=300, derandomize=True, deadline=None)
-    @given(rooms, needs, st.integers(0, 20))
+    @given(capacities, time_limits, st.integers(0, 20))
     def holds(workers, limits, ahead):
-        found = ExpectedLatencyPolicy().decide(workers, limits, ahead)
+        outcomes = ExpectedLatencyPolicy().decide(workers, limits, ahead)
         occupied, slots = (
             sum(each.in_flight for each in workers) + ahead,
             sum(w.slots for w in workers),
         )
-        if found.action is AdmissionAction.REFUSE:
+        if outcomes.action is AdmissionAction.REFUSE:
             assert occupied >= MIN_UTILIZATION * slots > 0
 
     holds()
@@ -135,9 +145,9 @@
 @then("no client fares worse than if every request started immediately")
 def then_not_worse(context):
     _, baseline = replay_without_admission(context)
-    _, found = replay_load(context)
-    assert share(found, IN_TIME) >= share(baseline, IN_TIME), (found, baseline)
-    assert not share(found, ("refused", "lost")), found
+    _, outcomes = replay_load(context)
+    assert share(outcomes, IN_TIME) >= share(baseline, IN_TIME), (outcomes, baseline)
+    assert not share(outcomes, ("refused", "lost")), outcomes
 
 
 @then(
@@ -145,17 +155,17 @@
 )
 def then_more(context):
     unlimited, baseline = replay_without_admission(context)
-    context.replay, found = replay_load(context)
-    assert share(found, IN_TIME) > share(baseline, IN_TIME), (found, baseline)
-    assert context.replay.offered < unlimited.offered / 2, (
-        context.replay.offered,
-        unlimited.offered,
+    context.replay, outcomes = replay_load(context)
+    assert share(outcomes, IN_TIME) > share(baseline, IN_TIME), (outcomes, baseline)
+    assert context.replay.attempts < unlimited.attempts / 2, (
+        context.replay.attempts,
+        unlimited.attempts,
     )
 
 
 @then("the queue never exceeded its maximum length")
 def then_bounded(context):
-    assert 0 < context.replay.longest_queue <= 64, context.replay.longest_queue
+    assert 0 < context.replay.max_queue_length <= 64, context.replay.max_queue_length
 
 
 @then("small tenants are served in time more often than the large one")
@@ -167,10 +177,10 @@
 
 @then("more often than without a reserve for them, while the large one is still served")
 def then_reserved(context):
-    _, found = replay_load(context, reserve=False)
-    assert share(context.fair, IN_TIME, is_small) > share(found, IN_TIME, is_small)
+    _, outcomes = replay_load(context, reserve=False)
+    assert share(context.fair, IN_TIME, is_small) > share(outcomes, IN_TIME, is_small)
     large, before = (
-        share(each, IN_TIME, lambda name: name == "large") for each in (context.fair, found)
+        share(each, IN_TIME, lambda name: name == "large") for each in (context.fair, outcomes)
     )
     assert large > 0.9 * before, (large, before)
 
@@ -178,14 +188,14 @@
 @given_step("half of the requests more urgent, beyond the capacity of all workers for 10 s")
 def given_urgent(context):
     context.arrivals = burst(1, 60, tenants={"urgent": 0.5, "other": 0.5}, urgent=("urgent",))
-    context.times_s = (SERVICE_TIME_S,) * 4
+    context.service_times_s = (SERVICE_TIME_S,) * 4
 
 
 @then("the more urgent are served in time more often, while the others are still served")
 def then_urgent(context):
-    _, found = replay_load(context)
+    _, outcomes = replay_load(context)
     urgent, others = (
-        share(found, IN_TIME, lambda each, meant=name: each == meant)
+        share(outcomes, IN_TIME, lambda each, meant=name: each == meant)
         for name in ("urgent", "other")
     )
     assert urgent > others > 0.5, (urgent, others)
@@ -195,13 +205,13 @@
     "a tenant alone or among equals is within its share, and a flooding tenant is not until it ends"
 )
 def then_shares(context):
-    alone, equals, flooded = RecentShares(), RecentShares(), RecentShares()
+    alone, same_priority, flooded = RecentShares(), RecentShares(), RecentShares()
     for number in range(100):
         alone.record(queued_request(number), 0.01 * number)
-        equals.record(queued_request(number, "abcd"[number % 4]), 0.01 * number)
+        same_priority.record(queued_request(number, "abcd"[number % 4]), 0.01 * number)
         flooded.record(queued_request(number, "abcdaaaa"[number % 8]), 0.01 * number)
     assert not alone.exceeds_share(queued_request(0))
-    assert not any(equals.exceeds_share(queued_request(0, name)) for name in "abcd")
+    assert not any(same_priority.exceeds_share(queued_request(0, name)) for name in "abcd")
     assert [name for name in "abcd" if flooded.exceeds_share(queued_request(0, name))] == ["a"]
     for number in range(100):
         flooded.record(queued_request(number, "abcd"[number % 4]), 5.0 + 0.01 * number)
@@ -234,11 +244,11 @@
             discipline.push(queued_request(number, tenant, priority))
         skipped = Counter()
         while (first := discipline.peek()) is not None:
-            equals = [each for each in discipline.all() if each.priority == first.priority]
+            same_priority = [each for each in discipline.all() if each.priority == first.priority]
             assert first.priority == min(each.priority for each in discipline.all())
-            own = [each for each in equals if each.tenant == first.tenant]
+            own = [each for each in same_priority if each.tenant == first.tenant]
             assert own[0] is first, "requests of one tenant were reordered"
-            for tenant in {each.tenant for each in equals}:
+            for tenant in {each.tenant for each in same_priority}:
                 skipped[tenant, first.priority] += 1
             skipped[first.tenant, first.priority] = 0
             assert max(skipped.values()) <= 2 * len("abcd"), "a tenant is starved"
@@ -288,7 +298,7 @@
 @then("Retry-After is at most a third of the client's remaining time")
 def then_a_third(context):
     @settings(max_examples=200, derandomize=True, deadline=None)
-    @given(rooms, st.floats(0, 10), st.floats(0, 1), st.integers(0, 40))
+    @given(capacities, st.floats(0, 10), st.floats(0, 1), st.integers(0, 40))
     def holds(workers, remaining_s, remaining_share, number):
         estimate = CapacityEstimate.from_workers(workers, 0.2, number, 1.0)
         for policy in (RateBasedRetryAfter(), AppointmentRetryAfter()):
--- a/features/support/room_replay.py
+++ b/features/support/room_replay.py
@@ -1,7 +1,7 @@
 """Replays load against the admission control: simulated gateways, workers and clients.
 
 Time is simulated by events. Gateways know each other's requests in flight with an age of up to
-`sight_age_s`.
+`report_interval_s`.
 """
 
 import heapq
@@ -19,7 +19,7 @@
 WORKER_QUEUE = 24
 TICK_S = 0.005
 WAIT_SHARE = 1 / 8
-HONOURED = 1 / 3
+MAX_REMAINING_SHARE = 1 / 3
 
 
 class Replay:
@@ -29,54 +29,58 @@
         self,
         policy,
         make_order,
-        return_times,
-        times_s,
+        retry_policies,
+        service_times_s,
         *,
         gateways=4,
         target_s=0.19,
         deadline_s=1.5,
         retries=1,
         slots=6,
-        sight_age_s=0.1,
+        report_interval_s=0.1,
         max_length=64,
         reserve=True,
         fresh_share=FRESH_TARGET_SHARE,
     ):
-        self.policy, self.return_times, self.times_s = policy, return_times, times_s
-        self.slots, self.retries, self.sight_age_s = slots, retries, sight_age_s
+        self.policy, self.retry_policies, self.service_times_s = (
+            policy,
+            retry_policies,
+            service_times_s,
+        )
+        self.slots, self.retries, self.report_interval_s = slots, retries, report_interval_s
         self.target_s, self.deadline_s = target_s, deadline_s
         self.admission_queues = [
             AdmissionQueue(policy, make_order(), max_length, RecentShares() if reserve else None)
             for _ in range(gateways)
         ]
-        self.in_flight = [0] * len(times_s)
-        self.own = [[0] * len(times_s) for _ in range(gateways)]
-        self.others = [[0] * len(times_s) for _ in range(gateways)]
-        self.worker_queues = [[] for _ in times_s]
-        self.running = [0] * len(times_s)
-        self.results, self.offered, self.longest_queue = [], 0, 0
+        self.in_flight = [0] * len(service_times_s)
+        self.own = [[0] * len(service_times_s) for _ in range(gateways)]
+        self.others = [[0] * len(service_times_s) for _ in range(gateways)]
+        self.worker_queues = [[] for _ in service_times_s]
+        self.running = [0] * len(service_times_s)
+        self.results, self.attempts, self.max_queue_length = [], 0, 0
         self.returns, self.started = [], []
         self.random = random.Random(5)
         self._events, self._number = [], itertools.count()
-        self._ids, self.looking = {}, set()
+        self._clients, self.checking = {}, set()
         self.shared_s, self.fresh_s = 0.0, fresh_share * target_s
 
     def run(self, arrivals, until_s=60.0):
         for at_s, tenant, priority in arrivals:
             client = SimpleNamespace(
-                began_s=at_s, tenant=tenant, priority=priority, tries=0, offered=False
+                began_s=at_s, tenant=tenant, priority=priority, tries=0, is_accepted=False
             )
             self._at(at_s, self._arrive, client)
         self._at(0.0, self._share)
         while self._events:
-            at_s, _, action, about = heapq.heappop(self._events)
+            at_s, _, action, args = heapq.heappop(self._events)
             if at_s > until_s:
                 break
-            action(at_s, *about)
+            action(at_s, *args)
         return Counter(self.results)
 
-    def _at(self, at_s, action, *about):
-        heapq.heappush(self._events, (at_s, next(self._number), action, about))
+    def _at(self, at_s, action, *args):
+        heapq.heappush(self._events, (at_s, next(self._number), action, args))
 
     def _share(self, now_s):
         self.others = [
@@ -84,16 +88,16 @@
             for mine in self.own
         ]
         self.shared_s = now_s
-        self._at(now_s + self.sight_age_s, self._share)
+        self._at(now_s + self.report_interval_s, self._share)
 
-    def _room(self, gateway, now_s, max_age_s=float("inf")):
+    def _capacities(self, gateway, now_s, max_age_s=float("inf")):
         """Like `room.observed`: the others' requests count while the report is fresh."""
         age_s = now_s - self.shared_s
         is_fresh = age_s <= max_age_s
         return [
             WorkerCapacity(self.slots, own + is_fresh * others, time_s, age_s if is_fresh else 0.0)
             for others, own, time_s in zip(
-                self.others[gateway], self.own[gateway], self.times_s, strict=True
+                self.others[gateway], self.own[gateway], self.service_times_s, strict=True
             )
         ]
 
@@ -111,43 +115,47 @@
         )
         queue = self.admission_queues[gateway]
         client.tries += 1
-        self._ids[id(request)] = client, request
-        decision, displaced = queue.submit(request, self._room(gateway, now_s, self.fresh_s), now_s)
-        self.longest_queue = max(self.longest_queue, len(queue))
+        self._clients[id(request)] = client, request
+        decision, displaced = queue.submit(
+            request, self._capacities(gateway, now_s, self.fresh_s), now_s
+        )
+        self.max_queue_length = max(self.max_queue_length, len(queue))
         if displaced is not None:
-            self._refuse(now_s, gateway, self._ids[id(displaced)][0])
+            self._refuse(now_s, gateway, self._clients[id(displaced)][0])
         if decision.action is AdmissionAction.START:
-            self._offer(now_s, gateway, client)
+            self._dispatch(now_s, gateway, client)
         elif decision.action is AdmissionAction.REFUSE:
             self._refuse(now_s, gateway, client)
-        elif gateway not in self.looking:
-            self.looking.add(gateway)
-            self._at(now_s + TICK_S, self._look, gateway)
+        elif gateway not in self.checking:
+            self.checking.add(gateway)
+            self._at(now_s + TICK_S, self._check_queue, gateway)
 
-    def _look(self, now_s, gateway):
+    def _check_queue(self, now_s, gateway):
         queue = self.admission_queues[gateway]
-        for released in queue.release_ready(self._room(gateway, now_s, self.fresh_s), now_s):
-            client = self._ids[id(released.request)][0]
+        for released in queue.release_ready(self._capacities(gateway, now_s, self.fresh_s), now_s):
+            client = self._clients[id(released.request)][0]
             if released.cause in (ReleaseCause.ROOM, ReleaseCause.OVERDUE):
-                self._offer(now_s, gateway, client)
+                self._dispatch(now_s, gateway, client)
             else:
                 self._refuse(now_s, gateway, client)
         if len(queue):
-            self._at(now_s + TICK_S, self._look, gateway)
+            self._at(now_s + TICK_S, self._check_queue, gateway)
         else:
-            self.looking.discard(gateway)
+            self.checking.discard(gateway)
 
-    def _offer(self, now_s, gateway, client):
+    def _dispatch(self, now_s, gateway, client):
         """Send to the best worker; full workers refuse, and the others are tried in turn."""
         self.admission_queues[gateway].dispatch_done()
-        rooms = self._room(gateway, now_s)
+        capacities = self._capacities(gateway, now_s)
         self.started.append((now_s, client.tenant))
-        for number in sorted(range(len(rooms)), key=lambda each: rooms[each].completion_s()):
-            self.offered += 1
+        for number in sorted(
+            range(len(capacities)), key=lambda each: capacities[each].completion_s()
+        ):
+            self.attempts += 1
             if self.in_flight[number] < self.slots + WORKER_QUEUE:
                 self.in_flight[number] += 1
                 self.own[gateway][number] += 1
-                client.offered = True
+                client.is_accepted = True
                 self.worker_queues[number].append((gateway, client))
                 return self._work(now_s, number)
         return self._refuse(now_s, gateway, client)
@@ -160,7 +168,7 @@
                 self._end(client, "lost")
                 continue
             self.running[number] += 1
-            time_s = self.times_s[number] * self.random.uniform(0.8, 1.2)
+            time_s = self.service_times_s[number] * self.random.uniform(0.8, 1.2)
             self._at(now_s + time_s, self._done, number, gateway, client)
 
     def _leave(self, number, gateway):
@@ -173,7 +181,7 @@
         took_s = now_s - client.began_s
         if took_s <= self.target_s:
             state = "in_time"
-        elif client.tries > 1 and now_s - client.came_back_s <= self.target_s:
+        elif client.tries > 1 and now_s - client.retried_s <= self.target_s:
             state = "in_time_after_refusal"
         else:
             state = "late" if took_s <= self.deadline_s else "lost"
@@ -181,20 +189,20 @@
         self._work(now_s, number)
 
     def _refuse(self, now_s, gateway, client):
-        assert not client.offered, "refused after it was offered and taken"
+        assert not client.is_accepted, "refused after a worker accepted it"
         remaining_s = client.began_s + self.deadline_s - now_s
         if client.tries > self.retries or remaining_s <= 0:
             return self._end(client, "refused")
-        rooms = self._room(gateway, now_s)
+        capacities = self._capacities(gateway, now_s)
         queue = self.admission_queues[gateway]
         own = sum(self.own[gateway])
-        estimate = CapacityEstimate.from_workers(rooms, self.target_s, len(queue), own)
-        retry_after_s = self.return_times(gateway).retry_after_s(
+        estimate = CapacityEstimate.from_workers(capacities, self.target_s, len(queue), own)
+        retry_after_s = self.retry_policies(gateway).retry_after_s(
             "cards", estimate, remaining_s, remaining_s / self.deadline_s, now_s
         )
-        client.came_back_s = now_s + min(retry_after_s, HONOURED * remaining_s)
-        self.returns.append(client.came_back_s)
-        return self._at(client.came_back_s, self._arrive, client)
+        client.retried_s = now_s + min(retry_after_s, MAX_REMAINING_SHARE * remaining_s)
+        self.returns.append(client.retried_s)
+        return self._at(client.retried_s, self._arrive, client)
 
     def _end(self, client, state):
         self.results.append((client.tenant, state))
@@ -214,12 +222,12 @@
 
     Requests of the tenants in `urgent` have priority 0.
     """
-    drawn = random.Random(seed)
+    rng = random.Random(seed)
     found, now_s = [], 0.0
     names, shares = zip(*(tenants or {"": 1.0}).items(), strict=True)
     while now_s < end_s:
         is_burst = from_s <= now_s < from_s + length_s
-        now_s += drawn.expovariate(rate_per_s * (factor if is_burst else 1))
-        tenant = drawn.choices(names, shares)[0]
+        now_s += rng.expovariate(rate_per_s * (factor if is_burst else 1))
+        tenant = rng.choices(names, shares)[0]
         found.append((now_s, tenant, 0 if tenant in urgent else 5))
     return found
