--- a/src/bellweir/hosted/queueing/admission_queue.py
+++ b/src/bellweir/hosted/queueing/admission_queue.py
@@ -1,10 +1,4 @@
-"""Decides which requests for a service start, wait or are refused, and when waiting ones proceed.
-
-Holds the waiting requests and counts those being dispatched, which are released but not in flight
-at a worker yet. Does no I/O, reads no clock and takes no lock: the caller passes the time and the
-workers' capacity and serializes calls. The cost of a call is linear in the bounded queue length and
-the number of workers.
-"""
+"""Decides which requests for a service start, wait or are refused, and releases waiting ones."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -31,7 +25,12 @@
 
 
 class AdmissionQueue:
-    """Requests for one service that this process has not sent to a worker yet."""
+    """Requests for one service that this process has not sent to a worker yet.
+
+    Holds the waiting requests and counts those being dispatched, which are released but not in
+    flight at a worker yet. Does no I/O, reads no clock and takes no lock: the caller passes the
+    time and the workers' capacity and serializes calls.
+    """
 
     def __init__(
         self,
--- a/src/bellweir/hosted/queueing/shares.py
+++ b/src/bellweir/hosted/queueing/shares.py
@@ -1,8 +1,6 @@
 """Detects tenants and priorities that recently used more than their fair share of a service.
 
-Most requests start without queueing, so that the queue discipline alone cannot protect tenants from
-a flood of others. Requests beyond their share leave a reserve of capacity, which costs nothing at
-low load.
+Most requests start without queueing, so that a queue discipline alone cannot protect tenants.
 """
 
 from bellweir.hosted.queueing.interface import QueuedRequest
--- a/src/bellweir/hosted/room/policy.py
+++ b/src/bellweir/hosted/room/policy.py
@@ -1,11 +1,4 @@
-"""Admission by expected latency.
-
-A request starts if its answer is expected within its latency target. If it would be slightly late,
-it is queued here for the first free slot, so that this gateway's queue discipline applies and not
-the workers'. If waiting cannot help, it is refused: it would be late itself and delay the requests
-behind it, while its client can retry when there is capacity. A request that cannot meet its
-deadline is refused in any case.
-"""
+"""Admission by expected latency."""
 
 from collections.abc import Sequence
 
@@ -33,6 +26,11 @@
 class ExpectedLatencyPolicy(AdmissionPolicy):
     """Decides by the earliest expected completion among the workers.
 
+    A request starts if its answer is expected within its latency target. If it would be slightly
+    late, it is queued here for the first free slot, so that this gateway's queue discipline applies
+    and not the workers'. If waiting cannot help, it is refused: it would be late itself and delay
+    those behind it, while its client can retry when there is capacity.
+
     >>> policy = ExpectedLatencyPolicy()
     >>> limits = TimeLimits(remaining_s=1.5, target_s=0.2, max_wait_s=0.025)
     >>> policy.decide([WorkerCapacity(6, 3, 0.04)], limits).action
--- a/src/bellweir/hosted/sight/counts.py
+++ b/src/bellweir/hosted/sight/counts.py
@@ -1,8 +1,6 @@
 """Exponentially decaying counts of the outcomes and latencies of one worker's requests.
 
-All weights halve every `HALF_LIFE_S`. Counts as of the same time can be added and subtracted
-exactly: what was observed since an earlier time is the current counts less the earlier ones,
-decayed to now.
+Weights halve every `HALF_LIFE_S`. Counts as of the same time add and subtract exactly.
 
 >>> counts = DecayingCounts()
 >>> for seconds in (0.1, 0.1, 0.4): counts.add(ObservedOutcome.SERVED, seconds, now_s=0.0)
--- a/src/bellweir/hosted/sight/exchange.py
+++ b/src/bellweir/hosted/sight/exchange.py
@@ -1,19 +1,7 @@
 """Gossips observations of workers among gateways.
 
-Every `GOSSIP_INTERVAL_S` a gateway sends at most one message to a peer of its own zone and one to a
-peer of another zone (see `gossip_ring`), and none without new records. With Z zones of n gateways
-that together record R changes per second of their W workers, a gateway sends
-
-    messages per second <= 2 / GOSSIP_INTERVAL_S
-    records per second <= min(MAX_RECORDS_PER_MESSAGE * 2 / GOSSIP_INTERVAL_S, R * (log2 n + 1))
-
-keeps `log2 n + Z - 1` connections and holds `min(n * Z * W, MAX_RECORDS)` records. A record reaches
-all gateways of its zone within `log2 n` rounds. Its origin sends it once to each other zone, and
-each gateway that relays it in its zone sends it to one other zone.
-
-The first message to a peer is a request. Peers that answer get one-way messages from then on; peers
-that refuse, such as older builds, are skipped for `UNSUPPORTED_BACKOFF_S`. The transport reports
-the same refusal, without sending, for builds known not to support the message.
+Each round a gateway sends at most one message to a peer of its own zone and one to a peer of
+another zone (see `gossip_ring`), and none without new records.
 """
 
 import threading
@@ -45,7 +33,12 @@
 
 
 class ObservationExchange:
-    """Sends and receives the observations of one gateway."""
+    """Sends and receives the observations of one gateway.
+
+    The first message to a peer is a request. Peers that answer get one-way messages from then on;
+    peers that refuse, as older builds do, are skipped for `UNSUPPORTED_BACKOFF_S`. For builds known
+    not to support the message, the transport reports a refusal without sending.
+    """
 
     def __init__(
         self,
--- a/src/bellweir/hosted/sight/gossip_ring.py
+++ b/src/bellweir/hosted/sight/gossip_ring.py
@@ -1,10 +1,6 @@
 """Chooses the peers to gossip with, without all-to-all messages.
 
-The gateways of a zone form a ring, in an order on which all agree. In round r each sends to the
-gateway `2**(r mod k)` positions ahead, where `k` is the bit length of the ring size less one. A
-record thus reaches all gateways of the zone in `k` rounds, and each gateway keeps `k` connections
-in its zone. In each round a gateway also sends to one other zone, round-robin, at its own position
-in that zone's ring.
+The gateways of a zone form a ring, in an order on which all agree.
 
 >>> ring = [GatewayPeer(f"g-{round_number}", f"h:{round_number}") for round_number in range(5)]
 >>> [zone_peer(ring, "g-3", round_number).node for round_number in range(4)]
@@ -57,7 +53,11 @@
 
 
 def zone_peer(ring: Sequence[GatewayPeer], node: str, round_number: int) -> GatewayPeer | None:
-    """The peer of the own zone in a round; None if there is no other gateway."""
+    """The peer of the own zone in a round; None if there is no other gateway.
+
+    In round r it is `2**(r mod k)` positions ahead, `k` being the bit length of the ring size less
+    one. A record thus reaches the whole ring in `k` rounds, over `k` connections of each gateway.
+    """
     step = 1 << (round_number % rounds_to_reach_all(len(ring)))
     if not ring:
         return None
@@ -68,7 +68,10 @@
 def remote_peer(
     others: Mapping[str, Sequence[GatewayPeer]], position: int, round_number: int
 ) -> GatewayPeer | None:
-    """The peer in another zone in a round; `others` holds no empty ring."""
+    """The peer in another zone in a round; `others` holds no empty ring.
+
+    Zones take turns; the peer is at the sender's own position in its ring.
+    """
     if not others:
         return None
     zones = sorted(others)
--- a/src/bellweir/hosted/sight/interface.py
+++ b/src/bellweir/hosted/sight/interface.py
@@ -1,8 +1,6 @@
 """Typed values and abstract class for the shared statistics of workers.
 
-With many gateways, each sends so few requests to a worker that its own observations say little
-about the worker's load or health. Gateways therefore share theirs; observations carry their age and
-decay.
+Each of many gateways sends too few requests to a worker to learn its load or health alone.
 """
 
 from abc import ABC, abstractmethod
--- a/src/bellweir/hosted/sight/monitor.py
+++ b/src/bellweir/hosted/sight/monitor.py
@@ -1,8 +1,7 @@
 """Combines local and gossiped observations into statistics of workers and services.
 
-Statistics are recomputed periodically, for workers with any record; requests read the last snapshot
-and add this node's own requests in flight. The cost of a refresh grows with the number of workers
-and records; the interval grows with the cost.
+Statistics are recomputed periodically; requests read the last snapshot and add this node's own
+requests in flight.
 """
 
 import threading
--- a/src/bellweir/hosted/sight/outlier_detection.py
+++ b/src/bellweir/hosted/sight/outlier_detection.py
@@ -1,13 +1,7 @@
 """Ejects workers that are slower or fail more often than the other workers of their service.
 
 Workers are compared with each other at the same time, never with a fixed threshold: if all are slow
-or all fail, as in a burst or an outage of a shared dependency, none is ejected. A worker's median
-latency is compared with the lower quartile of the medians, so that a slow half of the service does
-not define normal. Its failure rate is compared with that of all others together, since some
-requests fail at any worker. At most `MAX_EJECTED_SHARE` of a service is ejected, the worst first.
-
-An ejected worker gets no requests for a while, then probe requests, at a rate shared by all
-gateways. It is reinstated after successful probes, and ejected for twice as long after a bad one.
+or all fail, none is ejected, since no other would do better.
 
 >>> from bellweir.hosted.sight.interface import ObservedOutcome
 >>> a, b = Incarnation("i-a"), Incarnation("i-b")
@@ -156,7 +150,11 @@
 
 
 class OutlierDetector:
-    """Ejected workers by incarnation. Not safe for threads."""
+    """Ejected workers by incarnation. Not safe for threads.
+
+    An ejected worker gets no requests for a while, then probes. It is reinstated after successful
+    probes and ejected for twice as long after a bad one.
+    """
 
     def __init__(self) -> None:
         self._states: dict[Incarnation, _EjectionState] = {}
@@ -348,7 +346,11 @@
 
 
 class _ServiceReference:
-    """Total failures and sorted medians of the workers that others are compared with."""
+    """Total failures and sorted medians of the workers that others are compared with.
+
+    Failure rates are compared with all others together, since some requests fail at any worker and
+    the lowest of a few small samples is too low.
+    """
 
     __slots__ = ("completed", "failed", "medians")
 
@@ -428,6 +430,8 @@
 def lower_quartile(values: Sequence[float], own: float | None) -> float | None:
     """Lower quartile of sorted figures without `own`; None if none are left.
 
+    As a reference it is not distorted by a service of which up to half is slow.
+
     >>> [lower_quartile([1.0, 2.0, 3.0, 4.0, 5.0], own) for own in (1.0, 2.0, 5.0, None)]
     [3.0, 3.0, 2.0, 2.0]
     >>> lower_quartile([1.0], 1.0) is None, lower_quartile([1.0], 7.0)
--- a/src/bellweir/hosted/sight/retry_budget.py
+++ b/src/bellweir/hosted/sight/retry_budget.py
@@ -1,13 +1,7 @@
 """Retry budget of a service, shared by all gateways.
 
-If workers fail or refuse because they are overloaded, retries multiply the load. Retries of any
-cause are therefore bounded by a share of the first attempts, both counted over all gateways.
-`routing.retry_budget.RetryBudget` is local to one process and starts with a reserve of its own,
-which would add up over many gateways.
-
-The reserve serves services with so few requests that a share of them is less than one. Retries of
-other gateways count once gossip has reported them, so the bound may be exceeded by the retries made
-in the meantime.
+Bounds retries by a share of first attempts, both counted over all gateways, since retries would
+multiply the load of workers that fail because they are overloaded.
 
 >>> budget = SharedRetryBudget(share=0.5)
 >>> budget.allows(0.0, retries=RESERVE_RETRIES - 1), budget.allows(0.0, RESERVE_RETRIES)
@@ -17,10 +11,15 @@
 """
 
 RESERVE_RETRIES = 10.0
+"""For services with so few requests that the share of them is less than one."""
 
 
 class SharedRetryBudget:
-    """Decides whether a request may be retried."""
+    """Decides whether a request may be retried.
+
+    Retries of other gateways count once gossip has reported them; until then the bound may be
+    exceeded. A `routing.retry_budget.RetryBudget` per gateway would grant its reserve many times.
+    """
 
     __slots__ = ("share",)
 
--- a/src/bellweir/hosted/sight/table.py
+++ b/src/bellweir/hosted/sight/table.py
@@ -1,9 +1,7 @@
 """Observations of each worker by each gateway, and which of them to gossip next.
 
-A record covers one origin and one incarnation of a worker and holds all counts of the origin, so
-that a newer record replaces the older one: lost, duplicated and reordered records cannot make an
-observation count twice. Ages add up along the way and counts decay with age, so that stale records
-fade and are evicted.
+A record holds all counts of one origin for one incarnation of a worker, and a newer one replaces
+the older: lost, duplicated or reordered records never make an observation count twice.
 
 >>> one, two = ObservationTable("g-1", "a", 100), ObservationTable("g-2", "a", 200)
 >>> worker = Incarnation("i-1")
