--- a/bench/step_replay.py
+++ b/bench/step_replay.py
@@ -16,23 +16,23 @@
 from collections.abc import Iterator
 
 from bellweir.hosted.batches.placement import (
-    CROWDING,
+    BATCHING_SLOWDOWN,
     EarliestEnd,
-    EngineRoom,
+    EngineState,
     FastestFree,
-    Placement,
-    TextNeed,
+    PlacementPolicy,
+    TextDemand,
 )
 from bellweir.hosted.batches.step_ordering import (
     EarliestDue,
-    EnginesRoom,
-    GroupNeed,
+    EnginePool,
+    GroupDemand,
     LeastSlack,
     MostInTime,
     OldestFirst,
-    StepNeed,
-    StepOrder,
-    blocks,
+    OrderingPolicy,
+    StepDemand,
+    number_blocks,
 )
 
 LOOK_S = 0.025
@@ -136,7 +136,12 @@
     """One load under one way of ordering and placing."""
 
     def __init__(
-        self, load: Load, order: StepOrder, placement: Placement, seed: int, length_s: float = 56.0
+        self,
+        load: Load,
+        order: OrderingPolicy,
+        placement: PlacementPolicy,
+        seed: int,
+        length_s: float = 56.0,
     ) -> None:
         self.load = load
         self.order = order
@@ -148,7 +153,7 @@
         self.steps: list[Step] = []
         self.ends: list[tuple[float, str, Text]] = []
         self.overfull = 0
-        self.places = 8
+        self.slots = 8
         # Texts are drawn beforehand, so that each way gets the same.
         self.drawn = {
             (trainer.name, number): self._draw(trainer, number)
@@ -217,7 +222,7 @@
                     if text.engine is not None:
                         self.hands[text.engine].discard(text.name)
 
-    def _needs(self, now_s: float) -> Iterator[StepNeed]:
+    def _needs(self, now_s: float) -> Iterator[StepDemand]:
         for step in self.steps:
             if step.ended_s is not None:
                 continue
@@ -228,16 +233,16 @@
                     needs = [text.left(now_s) for text in left]
                     running = sum(text.engine is not None for text in left)
                     groups.append(
-                        GroupNeed(name, sum(needs), max(needs), len(left) - running, running)
+                        GroupDemand(name, sum(needs), max(needs), len(left) - running, running)
                     )
             wanted = max(0, step.trainer.wanted - step.whole())
             due_s = step.asked_s + DUE_S
-            yield StepNeed(
+            yield StepDemand(
                 step.job, due_s, groups, wanted, step.trainer.priority, step.trainer.name
             )
 
     def _begin(self, now_s: float) -> None:
-        free = sum(max(0, self.places - len(hand)) for hand in self.hands)
+        free = sum(max(0, self.slots - len(hand)) for hand in self.hands)
         waiting = {
             text.name: (step, text)
             for step in self.steps
@@ -247,23 +252,25 @@
         }
         if not free or not waiting:
             return
-        pace_s = len(self.paces) / sum(1 / pace for pace in self.paces) * (1 + CROWDING)
-        room = EnginesRoom(self.places * len(self.paces), pace_s)
-        block = blocks(self.order.order(list(self._needs(now_s)), room, now_s))
+        time_per_event_s = (
+            len(self.paces) / sum(1 / pace for pace in self.paces) * (1 + BATCHING_SLOWDOWN)
+        )
+        room = EnginePool(self.slots * len(self.paces), time_per_event_s)
+        block = number_blocks(self.order.order(list(self._needs(now_s)), room, now_s))
         ordered = sorted(
             waiting.values(),
             key=lambda one: (block[one[0].job, one[1].group], -one[1].guess, one[1].name),
         )
         engines = [
-            EngineRoom(number, pace, self.places, self._ends(number))
+            EngineState(number, pace, self.slots, self._ends(number))
             for number, pace in enumerate(self.paces)
         ]
         texts = []
         for _, text in ordered:
             text.waits_since_s = now_s if text.waits_since_s is None else text.waits_since_s
-            texts.append(TextNeed(text.name, text.guess, waited_s=now_s - text.waits_since_s))
+            texts.append(TextDemand(text.name, text.guess, waited_s=now_s - text.waits_since_s))
         for placed in self.placement.place(texts, engines, now_s):
-            if placed.is_now:
+            if placed.starts_now:
                 self._start(waiting[placed.key][1], placed.engine, now_s)
 
     def _ends(self, number: int) -> list[float]:
@@ -271,10 +278,12 @@
 
     def _start(self, text: Text, engine: int, now_s: float) -> None:
         self.hands[engine].add(text.name)
-        self.overfull += len(self.hands[engine]) > self.places
-        share = len(self.hands[engine]) / self.places
+        self.overfull += len(self.hands[engine]) > self.slots
+        share = len(self.hands[engine]) / self.slots
         text.engine = engine
-        text.ends_s = now_s + 0.02 + text.events * self.paces[engine] * (1 + CROWDING * share)
+        text.ends_s = (
+            now_s + 0.02 + text.events * self.paces[engine] * (1 + BATCHING_SLOWDOWN * share)
+        )
         heapq.heappush(self.ends, (text.ends_s, text.name, text))
 
     def shares(self) -> tuple[float, float, float, float, float]:
@@ -303,9 +312,11 @@
         )
 
 
-def engines(count: int, pace_s: float) -> list[float]:
+def engines(count: int, time_per_event_s: float) -> list[float]:
     """Paces of engines of which a quarter are 2.2 times as fast."""
-    return [pace_s / 2.2 if number % 4 == 3 else pace_s for number in range(count)]
+    return [
+        time_per_event_s / 2.2 if number % 4 == 3 else time_per_event_s for number in range(count)
+    ]
 
 
 def loads() -> list[Load]:
@@ -328,13 +339,16 @@
     ]
 
 
-ORDERS: dict[str, StepOrder] = {
+ORDERS: dict[str, OrderingPolicy] = {
     "oldest first": OldestFirst(),
     "earliest due": EarliestDue(),
     "least slack": LeastSlack(),
     "most in time": MostInTime(),
 }
-PLACEMENTS: dict[str, Placement] = {"fastest free": FastestFree(), "earliest end": EarliestEnd()}
+PLACEMENTS: dict[str, PlacementPolicy] = {
+    "fastest free": FastestFree(),
+    "earliest end": EarliestEnd(),
+}
 
 
 def main() -> None:
--- a/features/steps/hosted_batches_steps.py
+++ b/features/steps/hosted_batches_steps.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 
 from bellweir.hosted.batches.progress import EventsMissingError, ItemProgress
-from bellweir.hosted.batches.refusals import LONGEST_LOAD_S, PAUSE_S, RefusalBackoff
+from bellweir.hosted.batches.refusals import MAX_WEIGHT_LOAD_S, REFUSAL_BACKOFF_S, RefusalBackoff
 from bellweir.hosted.batches.state import (
     AcceptJob,
     BatchJobs,
@@ -24,7 +24,7 @@
 )
 from bellweir.hosted.batches.text_compression import compress_text
 from bellweir.hosted.batches.worker_quarantine import (
-    LONGEST_PAUSE_S,
+    MAX_BACKOFF_S,
     WorkerQuarantine,
     max_server_errors,
 )
@@ -305,20 +305,20 @@
                 now_s += seconds
             elif what == "load":
                 guard.load_told(worker, "m", seconds)
-                closed_until_s = max(closed_until_s, now_s + min(seconds, LONGEST_LOAD_S))
+                closed_until_s = max(closed_until_s, now_s + min(seconds, MAX_WEIGHT_LOAD_S))
                 is_open = False
             elif what == "load_ended":
                 guard.load_told(worker, "m", 0.0)
                 closed_until_s, is_open = 0.0, True
             else:
-                guard.refused(worker, "m")
-                closed_until_s, is_open = max(closed_until_s, now_s + PAUSE_S), False
+                guard.record_refusal(worker, "m")
+                closed_until_s, is_open = max(closed_until_s, now_s + REFUSAL_BACKOFF_S), False
             assert guard.may_start(worker, "m") == (is_open or now_s >= closed_until_s)
             assert guard.may_start(Incarnation("i", 8), "m"), "a later start of it"
         if not is_open and guard.may_start(worker, "m"):
-            guard.started(worker, "m")
+            guard.record_start(worker, "m")
             assert not guard.may_start(worker, "m")
-            guard.accepted(worker, "m")
+            guard.record_accepted(worker, "m")
             assert guard.may_start(worker, "m")
 
     left_alone()
@@ -334,7 +334,7 @@
 
 @then("after a refusal one run at a time is sent until the worker takes one")
 def then_one_at_a_time(context):
-    ending = st.sampled_from(("accepted", "refused", "ended"))
+    ending = st.sampled_from(("record_accepted", "record_refusal", "record_end"))
 
     @settings(max_examples=200)
     @given(steps=st.lists(st.tuples(st.booleans(), ending, st.floats(0, 0.2)), max_size=40))
@@ -346,18 +346,18 @@
         for begins, how, passed_s in steps:
             now_s[0] += passed_s
             if begins and guard.may_start(worker, "m"):
-                guard.started(worker, "m")
+                guard.record_start(worker, "m")
                 in_hand += 1
                 if refused_s is not None:
-                    assert now_s[0] >= refused_s + PAUSE_S
+                    assert now_s[0] >= refused_s + REFUSAL_BACKOFF_S
                     assert begun <= ended, "a second run beside one that is not answered"
                     begun += 1
             elif in_hand and not begins:
                 in_hand -= 1
                 getattr(guard, how)(worker, "m")
-                ended += how == "ended"
-                if how != "ended":
-                    refused_s = now_s[0] if how == "refused" else None
+                ended += how == "record_end"
+                if how != "record_end":
+                    refused_s = now_s[0] if how == "record_refusal" else None
                     begun = ended = 0
         assert guard.may_start(worker, "other")
 
@@ -382,25 +382,25 @@
         for worker, serves, number, passed_s in answers:
             now_s += passed_s + 0.001
             if serves:
-                failing.succeeded(worker, now_s)
+                failing.record_success(worker, now_s)
                 failed[worker] = []
             else:
-                failing.started(worker, f"item-{number}")
-                failing.failed(worker, f"item-{number}")
-                failing.ended(worker, f"item-{number}")
+                failing.record_start(worker, f"item-{number}")
+                failing.record_failure(worker, f"item-{number}")
+                failing.record_end(worker, f"item-{number}")
                 failed[worker].append(number)
             closed = [one for one in FELLOWS if not failing.may_start(one, FELLOWS)]
             assert len(closed) <= len(FELLOWS) / 2
             for one in closed:
                 assert len(set(failed[one])) >= 2, "closed for one item or none"
-        now_s += LONGEST_PAUSE_S
+        now_s += MAX_BACKOFF_S
         for one in FELLOWS:
             assert failing.may_start(one, FELLOWS), "not tried again"
-            failing.started(one, "trial")
+            failing.record_start(one, "trial")
             if one in failing.failing_workers(FELLOWS) and not failing.may_start(one, FELLOWS):
-                failing.ended(one, "trial")
+                failing.record_end(one, "trial")
                 assert failing.may_start(one, FELLOWS)
-            failing.succeeded(one, now_s)
+            failing.record_success(one, now_s)
             assert failing.may_start(one, FELLOWS)
 
     set_aside()
@@ -419,8 +419,8 @@
         failing = WorkerQuarantine(lambda: now_s)
         fellows = [Incarnation(f"i-{number}") for number in range(6)]
         for worker in fellows[:broken]:
-            failing.failed(worker, "another")
-            failing.failed(worker, "a third")
+            failing.record_failure(worker, "another")
+            failing.record_failure(worker, "a third")
         failed_at = []
         for number in workers:
             is_exhausted = failing.has_exhausted_retries(failed_at, allowed, fellows)
--- a/features/steps/hosted_moves_steps.py
+++ b/features/steps/hosted_moves_steps.py
@@ -13,10 +13,10 @@
 from bellweir.hosted.batches.attempts import ItemAttempts
 from bellweir.hosted.batches.event_times import WorkerEventTimes
 from bellweir.hosted.batches.move_planning import (
-    LEAST_GAIN_S,
+    MIN_GAIN_S,
     MOVE_COST_S,
     MoveTarget,
-    RunOutlook,
+    RunForecast,
     plan_moves,
 )
 from bellweir.hosted.batches.progress import ItemProgress
@@ -46,24 +46,30 @@
     )
     def moves(runs, paces, rooms):
         outlooks = [
-            RunOutlook(number, worker, paces[worker], silent_s, left)
+            RunForecast(number, worker, paces[worker], silent_s, left)
             for number, (worker, silent_s, left) in enumerate(runs)
         ]
-        targets = [MoveTarget(name, paces[name], room) for name, room in rooms.items()]
+        targets = [MoveTarget(name, paces[name], free_slots) for name, free_slots in rooms.items()]
         planned = plan_moves(outlooks, targets)
         assert len({move.run.key for move in planned}) == len(planned), "a run moved twice"
-        for name, room in rooms.items():
-            assert sum(move.target == name for move in planned) <= room
+        for name, free_slots in rooms.items():
+            assert sum(move.target == name for move in planned) <= free_slots
         for move in planned:
             assert move.target != move.run.worker
             assert move.target in rooms
-            gain_s = move.run.left_events * (move.run.pace_s - paces[move.target]) - MOVE_COST_S
-            assert move.run.stands_still or gain_s >= LEAST_GAIN_S
-        left = {name: room - sum(m.target == name for m in planned) for name, room in rooms.items()}
+            gain_s = (
+                move.run.remaining_events * (move.run.time_per_event_s - paces[move.target])
+                - MOVE_COST_S
+            )
+            assert move.run.is_silent or gain_s >= MIN_GAIN_S
+        left = {
+            name: free_slots - sum(m.target == name for m in planned)
+            for name, free_slots in rooms.items()
+        }
         stayed = {outlook.key for outlook in outlooks} - {move.run.key for move in planned}
         for outlook in outlooks:
-            if outlook.key in stayed and outlook.stands_still:
-                others = [room for name, room in left.items() if name != outlook.worker]
+            if outlook.key in stayed and outlook.is_silent:
+                others = [free_slots for name, free_slots in left.items() if name != outlook.worker]
                 assert not any(others), "a silent run stays while another worker has room"
 
     moves()
@@ -197,8 +203,8 @@
     def look(self, after_s):
         """Look at the runs when some time has passed."""
         self.now_s += after_s
-        room = ROOM - len(self.moved())
-        targets = [(self.slow, room)] if room > 0 else []
+        free_slots = ROOM - len(self.moved())
+        targets = [(self.slow, free_slots)] if free_slots > 0 else []
         self.mover.move_runs(self.runs, lambda _progress, _service: targets)
 
     def moved(self):
--- a/features/steps/hosted_steps_steps.py
+++ b/features/steps/hosted_steps_steps.py
@@ -13,21 +13,21 @@
 
 from bellweir.hosted.batches.attempts import ItemAttempts
 from bellweir.hosted.batches.placement import (
-    LONGEST_HOLD_S,
+    MAX_HOLD_S,
     EarliestEnd,
-    EngineRoom,
+    EngineState,
     FastestFree,
-    TextNeed,
+    TextDemand,
 )
 from bellweir.hosted.batches.progress import ItemProgress
 from bellweir.hosted.batches.state import AcceptJob, JobState
 from bellweir.hosted.batches.step_ordering import (
-    LATE_SHARE,
-    EnginesRoom,
-    GroupNeed,
+    LATE_SLOT_SHARE,
+    EnginePool,
+    GroupDemand,
+    GroupStatus,
     MostInTime,
-    Standing,
-    StepNeed,
+    StepDemand,
 )
 from bellweir.hosted.batches.step_scheduler import OpenStep, StepScheduler
 from bellweir.hosted.records import Configuration
@@ -54,25 +54,25 @@
         steps = []
         for number, (due_s, groups, wanted, priority, tenant) in enumerate(drawn):
             needs = [
-                GroupNeed(f"g-{at}", work, work * share, waiting, running)
+                GroupDemand(f"g-{at}", work, work * share, waiting, running)
                 for at, (work, share, waiting, running) in enumerate(groups)
             ]
-            steps.append(StepNeed(f"job-{number}", due_s, needs, wanted, priority, tenant))
+            steps.append(StepDemand(f"job-{number}", due_s, needs, wanted, priority, tenant))
         return steps
 
     return st.lists(step, max_size=4).map(made)
 
 
 def keys(ordered):
-    return [(one.job, one.group, one.standing) for one in ordered]
+    return [(one.job, one.group, one.status) for one in ordered]
 
 
 @then("the order has each group once and is the same however the steps are listed")
 def then_total(context):
     @settings(max_examples=200)
-    @given(steps=steps_strategy(6), places=st.integers(1, 40), data=st.data())
-    def total(steps, places, data):
-        room = EnginesRoom(places, PACE_S)
+    @given(steps=steps_strategy(6), slots=st.integers(1, 40), data=st.data())
+    def total(steps, slots, data):
+        room = EnginePool(slots, PACE_S)
         listed = data.draw(st.permutations(steps))
         for order in ORDERS.values():
             found = keys(order.order(steps, room, 0.0))
@@ -88,13 +88,13 @@
 @then("as many groups are in time as can be together, before late ones and surplus ones")
 def then_most(context):
     @settings(max_examples=200)
-    @given(steps=steps_strategy(3, ("a",)), places=st.integers(1, 3))
-    def most(steps, places):
-        room = EnginesRoom(places, PACE_S)
+    @given(steps=steps_strategy(3, ("a",)), slots=st.integers(1, 3))
+    def most(steps, slots):
+        room = EnginePool(slots, PACE_S)
         found = MostInTime().order(steps, room, 0.0)
-        in_time = [one for one in found if one.standing is Standing.IN_TIME]
+        in_time = [one for one in found if one.status is GroupStatus.IN_TIME]
         assert len(in_time) == most_together(steps, room)
-        ranks = [list(Standing).index(one.standing) for one in found]
+        ranks = [list(GroupStatus).index(one.status) for one in found]
         assert ranks == sorted(ranks)
 
     most()
@@ -104,15 +104,19 @@
     """The most wanted groups that are in time together, of all choices."""
     wanted = []
     for step in steps:
-        nearest = sorted(step.groups, key=lambda group: (group.work, group.name))
+        nearest = sorted(step.groups, key=lambda group: (group.remaining_events, group.name))
         wanted += [(step.due_s, group) for group in nearest[: step.wanted]]
-    wanted = [one for one in wanted if one[1].longest * room.pace_s <= one[0]]
+    wanted = [
+        one for one in wanted if one[1].longest_remaining_events * room.time_per_event_s <= one[0]
+    ]
     wanted.sort(key=lambda one: one[0])
     for count in range(len(wanted), 0, -1):
         for chosen in itertools.combinations(wanted, count):
-            done = itertools.accumulate(group.work for _, group in chosen)
+            done = itertools.accumulate(group.remaining_events for _, group in chosen)
             pairs = zip(chosen, done, strict=True)
-            if all(work * room.pace_s / room.places <= due_s for (due_s, _), work in pairs):
+            if all(
+                work * room.time_per_event_s / room.slots <= due_s for (due_s, _), work in pairs
+            ):
                 return count
     return 0
 
@@ -120,17 +124,17 @@
 @then("a group that can't be in time gets places while such groups have few")
 def then_not_starved(context):
     @settings(max_examples=300)
-    @given(steps=steps_strategy(6), places=st.integers(8, 40))
-    def not_starved(steps, places):
-        found = MostInTime().order(steps, EnginesRoom(places, PACE_S), 0.0)
+    @given(steps=steps_strategy(6), slots=st.integers(8, 40))
+    def not_starved(steps, slots):
+        found = MostInTime().order(steps, EnginePool(slots, PACE_S), 0.0)
         needs = {(step.job, group.name): group for step in steps for group in step.groups}
-        late = [one for one in found if one.standing is Standing.LATE]
+        late = [one for one in found if one.status is GroupStatus.LATE]
         running = sum(needs[one.job, one.group].running for one in late)
         waits = any(needs[one.job, one.group].waiting for one in late)
-        if waits and running < int(LATE_SHARE * places):
+        if waits and running < int(LATE_SLOT_SHARE * slots):
             first = found[0]
-            assert first.standing is Standing.LATE
-            in_time = any(one.standing is Standing.IN_TIME for one in found)
+            assert first.status is GroupStatus.LATE
+            in_time = any(one.status is GroupStatus.IN_TIME for one in found)
             assert needs[first.job, first.group].waiting or not in_time
 
     not_starved()
@@ -170,10 +174,10 @@
 
 
 def made(texts, rooms):
-    needs = [TextNeed(number, *text) for number, text in enumerate(texts)]
+    needs = [TextDemand(number, *text) for number, text in enumerate(texts)]
     engines = [
-        EngineRoom(number, pace_s, places, ends_s[:places], free)
-        for number, (pace_s, places, ends_s, free) in enumerate(rooms)
+        EngineState(number, time_per_event_s, slots, ends_s[:slots], free)
+        for number, (time_per_event_s, slots, ends_s, free) in enumerate(rooms)
     ]
     return needs, engines
 
@@ -187,12 +191,12 @@
     def within(texts, rooms):
         for placement in (EarliestEnd(), FastestFree()):
             needs, engines = made(texts, rooms)
-            before = [(engine.runs, engine.free_tokens) for engine in engines]
+            before = [(engine.in_flight, engine.free_tokens) for engine in engines]
             placed = placement.place(needs, engines, 0.0)
             assert len({one.key for one in placed}) == len(placed), "a text twice"
             for engine, (runs, free) in zip(engines, before, strict=True):
-                own = [one for one in placed if one.is_now and one.engine == engine.key]
-                assert runs + len(own) <= engine.places or not own
+                own = [one for one in placed if one.starts_now and one.engine == engine.key]
+                assert runs + len(own) <= engine.slots or not own
                 tokens = sum(needs[one.key].tokens for one in own)
                 # An engine without runs takes one text of any size.
                 alone = needs[own[0].key].tokens if own and runs == 0 else 0
@@ -210,12 +214,12 @@
     def bounded(texts, rooms):
         needs, engines = made(texts, rooms)
         for one in EarliestEnd().place(needs, engines, 0.0):
-            assert one.is_now or needs[one.key].waited_s < LONGEST_HOLD_S
+            assert one.starts_now or needs[one.key].waited_s < MAX_HOLD_S
         needs, engines = made(texts, rooms)
         first = next(iter(needs), None)
-        if first is not None and first.waited_s >= LONGEST_HOLD_S:
-            can_begin = any(one.has_place and one.has_memory(first) for one in engines)
-            placed = {one.key for one in EarliestEnd().place(needs, engines, 0.0) if one.is_now}
+        if first is not None and first.waited_s >= MAX_HOLD_S:
+            can_begin = any(one.has_free_slot and one.has_memory(first) for one in engines)
+            placed = {one.key for one in EarliestEnd().place(needs, engines, 0.0) if one.starts_now}
             assert (first.key in placed) == can_begin
 
     bounded()
--- a/src/bellweir/hosted/batches/attempts.py
+++ b/src/bellweir/hosted/batches/attempts.py
@@ -134,11 +134,11 @@
             state = opened.state
         finally:
             if state is AttemptState.ANSWERED:
-                self.refusals.accepted(worker.incarnation, model)
+                self.refusals.record_accepted(worker.incarnation, model)
             elif state is AttemptState.REFUSED:
-                self.refusals.refused(worker.incarnation, model)
+                self.refusals.record_refusal(worker.incarnation, model)
             else:
-                self.refusals.ended(worker.incarnation, model)
+                self.refusals.record_end(worker.incarnation, model)
         return opened
 
     def _ended_here(
@@ -284,14 +284,14 @@
             self._give_up_if_due(progress, maximum_failures, worker)
 
     def _note_served(self, worker: Worker, began_s: float) -> None:
-        if self.failing.succeeded(worker.incarnation, began_s):
+        if self.failing.record_success(worker.incarnation, began_s):
             emit(WORKER_SERVES_AGAIN, instance=worker.instance)
 
     def _note_failure(self, progress: ItemProgress, worker: Worker, status: int) -> None:
         """Note what a worker's answer without a result tells of the worker."""
         if status < SERVER_ERROR:
             return
-        failures = self.failing.failed(worker.incarnation, progress.item.id)
+        failures = self.failing.record_failure(worker.incarnation, progress.item.id)
         fellows = self.fellows_of(worker)
         failing = self.failing.failing_workers(fellows)
         if worker.incarnation in failing:
--- a/src/bellweir/hosted/batches/coordinator.py
+++ b/src/bellweir/hosted/batches/coordinator.py
@@ -235,8 +235,8 @@
             )
         except (ExecutorSaturatedError, RuntimeError):
             self._loads.released(worker.incarnation)
-            self._attempts.refusals.ended(worker.incarnation, progress.job.model)
-            self._attempts.failing.ended(worker.incarnation, progress.item.id)
+            self._attempts.refusals.record_end(worker.incarnation, progress.job.model)
+            self._attempts.failing.record_end(worker.incarnation, progress.item.id)
             with self._lock:
                 self._running.pop(key, None)
             return False
@@ -254,7 +254,7 @@
             self._loads.released(worker.incarnation)
             raise
         finally:
-            self._attempts.failing.ended(worker.incarnation, progress.item.id)
+            self._attempts.failing.record_end(worker.incarnation, progress.item.id)
             with self._lock:
                 self._running.pop(key, None)
                 is_wanted = self._progress.get(key) is progress
--- a/src/bellweir/hosted/batches/deferred_reads.py
+++ b/src/bellweir/hosted/batches/deferred_reads.py
@@ -1,4 +1,4 @@
-"""Tells of readings that are put off because nobody knows the position."""
+"""Counts and logs reads of results that are deferred because their position is unknown."""
 
 import threading
 import time
@@ -7,42 +7,40 @@
 from bellweir.events.log import emit
 from bellweir.hosted.log_events import READING_PUT_OFF
 
-PERIOD_S = 1.0
-"""Time between two lines: without a leader each client asks twice a second."""
+LOG_INTERVAL_S = 1.0
 
 
 class DeferredReads:
-    """Counts all of them, and logs one a second at most. Safe for threads."""
+    """Counts each deferred read and logs at most one per interval. Thread-safe."""
 
-    __slots__ = ("_count", "_due_s", "_left_out", "_lock")
+    __slots__ = ("_count", "_due_s", "_lock", "_suppressed")
 
     def __init__(self, count: Callable[[str], None]) -> None:
-        """`count` is called for each with what the zone's replica had."""
+        """`count` is called for each deferred read with the value of `nearby`."""
         self._count = count
         self._lock = threading.Lock()
         self._due_s = float("-inf")
-        self._left_out = 0
+        self._suppressed = 0
 
     def record(self, job_id: str, after: int, leader: str, nearby: str) -> None:
-        """Note a reading of a job from a position on.
+        """Record a deferred read of a job's results after position `after`.
 
-        `leader` says why the leader did not answer; `nearby` is `behind` where the zone's replica
-        knows the job but not the position, and `no_job` where it knows no such job or there is
-        none that answers.
+        `leader`: why the leader did not answer. `nearby`: `behind` if the replica in this zone
+        has the job but not the position, `no_job` if it lacks the job or did not answer.
         """
         self._count(nearby)
         now_s = time.monotonic()
         with self._lock:
             if now_s < self._due_s:
-                self._left_out += 1
+                self._suppressed += 1
                 return
-            self._due_s = now_s + PERIOD_S
-            left_out, self._left_out = self._left_out, 0
+            self._due_s = now_s + LOG_INTERVAL_S
+            suppressed, self._suppressed = self._suppressed, 0
         emit(
             READING_PUT_OFF,
             request_id=job_id,
             after=after,
             leader=leader,
             nearby=nearby,
-            left_out=left_out,
+            left_out=suppressed,
         )
--- a/src/bellweir/hosted/batches/event_times.py
+++ b/src/bellweir/hosted/batches/event_times.py
@@ -1,14 +1,13 @@
-"""How fast each worker makes events, learnt from the streams in hand.
+"""Estimates each worker's time per event from its event streams.
 
-A worker's slowness shows between two events of any of its streams, long before a whole text ends.
-Gaps are smoothed for each worker. A gap many times the usual one is a pause (weights that load, a
-connection that stalls) and says little of the pace, so that it counts as a few usual ones.
+The intervals between events are smoothed by worker. Long intervals (a weight load, a stalled
+connection) are capped, because they say little about the speed of a worker.
 
->>> paces = WorkerEventTimes()
+>>> event_times = WorkerEventTimes()
 >>> for _ in range(200):
-...     paces.record_interval(Incarnation("i-1"), 0.04)
-...     paces.record_interval(Incarnation("i-2"), 0.12)
->>> [round(paces.of(Incarnation(name)), 2) for name in ("i-1", "i-2", "new")]
+...     event_times.record_interval(Incarnation("i-1"), 0.04)
+...     event_times.record_interval(Incarnation("i-2"), 0.12)
+>>> [round(event_times.of(Incarnation(name)), 2) for name in ("i-1", "i-2", "new")]
 [0.04, 0.12, 0.04]
 """
 
@@ -17,52 +16,56 @@
 
 from bellweir.hosted.incarnation import Incarnation
 
-SMOOTHING = 0.05
-"""Weight of the newest gap."""
-PAUSE_FACTOR = 5.0
-"""A gap counts as at most this many times the pace known so far."""
-FEWEST_GAPS = 8
-"""Gaps after which a worker's pace counts; before, it is taken for as good as the best."""
-USUAL_GAP_S = 0.05
-"""Seconds between events where nothing is known of any worker."""
+SMOOTHING_FACTOR = 0.05
+"""Weight of the newest interval in the moving average."""
+MAX_INTERVAL_FACTOR = 5.0
+"""An interval is capped at this many times the current average."""
+MIN_INTERVALS = 8
+"""Intervals before a worker's own average is used; until then, the best known one is."""
+DEFAULT_TIME_PER_EVENT_S = 0.05
+"""Used while no worker has an average yet."""
 
 
-class _Pace:
-    __slots__ = ("gap_s", "seen")
+class _EventTime:
+    __slots__ = ("count", "interval_s")
 
     def __init__(self) -> None:
-        self.gap_s = 0.0
-        self.seen = 0
+        self.interval_s = 0.0
+        self.count = 0
 
 
 class WorkerEventTimes:
-    """Seconds from one event to the next, by worker. Safe for threads."""
+    """Smoothed seconds per event, by worker. Thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._paces: dict[Incarnation, _Pace] = {}
+        self._event_times: dict[Incarnation, _EventTime] = {}
 
-    def record_interval(self, worker: Incarnation, gap_s: float) -> None:
-        """Note the time between two events of one stream."""
+    def record_interval(self, worker: Incarnation, interval_s: float) -> None:
+        """Record the time between two events of one stream."""
         with self._lock:
-            pace = self._paces.setdefault(worker, _Pace())
-            if pace.seen == 0:
-                pace.gap_s = gap_s
+            event_time = self._event_times.setdefault(worker, _EventTime())
+            if event_time.count == 0:
+                event_time.interval_s = interval_s
             else:
-                counted_s = min(gap_s, PAUSE_FACTOR * pace.gap_s)
-                pace.gap_s += SMOOTHING * (counted_s - pace.gap_s)
-            pace.seen += 1
+                counted_s = min(interval_s, MAX_INTERVAL_FACTOR * event_time.interval_s)
+                event_time.interval_s += SMOOTHING_FACTOR * (counted_s - event_time.interval_s)
+            event_time.count += 1
 
     def of(self, worker: Incarnation) -> float:
-        """Return a worker's pace in seconds an event; the best known one for a new worker."""
+        """Return a worker's seconds per event; for a new worker, the best known value."""
         with self._lock:
-            pace = self._paces.get(worker)
-            if pace is not None and pace.seen >= FEWEST_GAPS:
-                return pace.gap_s
-            known = [one.gap_s for one in self._paces.values() if one.seen >= FEWEST_GAPS]
-            return min(known, default=USUAL_GAP_S)
+            event_time = self._event_times.get(worker)
+            if event_time is not None and event_time.count >= MIN_INTERVALS:
+                return event_time.interval_s
+            known = [
+                one.interval_s for one in self._event_times.values() if one.count >= MIN_INTERVALS
+            ]
+            return min(known, default=DEFAULT_TIME_PER_EVENT_S)
 
     def retain(self, incarnations: Collection[Incarnation]) -> None:
-        """Drop what is known of workers that are gone."""
+        """Drop the state of all other workers."""
         with self._lock:
-            self._paces = {key: one for key, one in self._paces.items() if key in incarnations}
+            self._event_times = {
+                key: one for key, one in self._event_times.items() if key in incarnations
+            }
--- a/src/bellweir/hosted/batches/length_prediction.py
+++ b/src/bellweir/hosted/batches/length_prediction.py
@@ -1,8 +1,8 @@
-"""How many events an item's text will have, as far as anything tells.
+"""Predicts how many events an item's text will have.
 
-Three sources, the best first: what an earlier run of the same item made (an item that comes again
-makes as much again), what the caller guesses, and the mean of the texts that ended. Callers guess
-in tokens; how many tokens make an event is learnt from the texts that ended.
+From three sources, the best first: events of an earlier run of the same item, the caller's estimate
+in tokens, and the mean of completed texts. The ratio of estimated tokens to events is learned from
+completed texts.
 
 >>> lengths = LengthPredictor()
 >>> lengths.record_completed("a", 100, 20)
@@ -17,56 +17,60 @@
 import threading
 from collections import OrderedDict
 
-SMOOTHING = 0.05
-"""Weight of the newest text."""
-MAXIMUM_ITEMS = 4_096
-"""Items whose events are remembered; the oldest goes first."""
+SMOOTHING_FACTOR = 0.05
+"""Weight of the newest text in the moving averages."""
+MAX_ITEMS = 4_096
+"""Items whose event counts are kept; the oldest is evicted first."""
 
 
 class LengthPredictor:
-    """Expected lengths of texts. Safe for threads."""
+    """Predicts lengths of texts. Thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._seen: OrderedDict[str, int] = OrderedDict()
-        self._log_tokens: float | None = None
-        """Logarithm of the tokens guessed for one event that was made, smoothed."""
+        self._events_by_item: OrderedDict[str, int] = OrderedDict()
+        self._log_tokens_per_event: float | None = None
+        """Moving average of log(estimated tokens / events)."""
         self._mean_events = 1.0
-        self._texts = 0
+        self._completed_texts = 0
 
     def record_events(self, item_id: str, events: int) -> None:
-        """Note the events that a run of an item has made."""
+        """Record the events of a run of an item, which may be incomplete."""
         with self._lock:
-            self._seen[item_id] = max(events, self._seen.pop(item_id, 0))
-            while len(self._seen) > MAXIMUM_ITEMS:
-                self._seen.popitem(last=False)
+            self._events_by_item[item_id] = max(events, self._events_by_item.pop(item_id, 0))
+            while len(self._events_by_item) > MAX_ITEMS:
+                self._events_by_item.popitem(last=False)
 
-    def record_completed(self, item_id: str, guessed_tokens: float | None, events: int) -> None:
-        """Note a whole text and what its caller had guessed."""
+    def record_completed(self, item_id: str, estimated_tokens: float | None, events: int) -> None:
+        """Record a complete text and the estimate of its caller."""
         self.record_events(item_id, events)
         if events <= 0:
             return
         with self._lock:
-            weight = max(SMOOTHING, 1 / (self._texts + 1))
-            self._texts += 1
+            weight = max(SMOOTHING_FACTOR, 1 / (self._completed_texts + 1))
+            self._completed_texts += 1
             self._mean_events += weight * (events - self._mean_events)
-            if guessed_tokens is not None and guessed_tokens > 0:
-                found = math.log(guessed_tokens / events)
-                known = found if self._log_tokens is None else self._log_tokens
-                self._log_tokens = known + weight * (found - known)
+            if estimated_tokens is not None and estimated_tokens > 0:
+                observed = math.log(estimated_tokens / events)
+                previous = (
+                    observed if self._log_tokens_per_event is None else self._log_tokens_per_event
+                )
+                self._log_tokens_per_event = previous + weight * (observed - previous)
 
     @property
     def is_calibrated(self) -> bool:
-        """Whether a text has ended, so that expectations are in events; before, they only rank."""
+        """Whether any text is complete; before, predictions are only good for ranking."""
         with self._lock:
-            return self._texts > 0
+            return self._completed_texts > 0
 
-    def predict_events(self, item_id: str, guessed_tokens: float | None) -> float:
-        """Return the events that an item's text is expected to have."""
+    def predict_events(self, item_id: str, estimated_tokens: float | None) -> float:
+        """Return the predicted number of events of an item's text."""
         with self._lock:
-            seen = float(self._seen.get(item_id, 0))
-            if guessed_tokens is None or guessed_tokens <= 0:
-                return seen or self._mean_events
-            # Before the first text has ended only the order of the guesses counts.
-            log_tokens = self._log_tokens if self._log_tokens is not None else 0.0
-            return max(seen, guessed_tokens / math.exp(log_tokens))
+            observed_events = float(self._events_by_item.get(item_id, 0))
+            if estimated_tokens is None or estimated_tokens <= 0:
+                return observed_events or self._mean_events
+            # Before the first text is complete only the ranking of the estimates matters.
+            log_tokens_per_event = (
+                self._log_tokens_per_event if self._log_tokens_per_event is not None else 0.0
+            )
+            return max(observed_events, estimated_tokens / math.exp(log_tokens_per_event))
--- a/src/bellweir/hosted/batches/move_planning.py
+++ b/src/bellweir/hosted/batches/move_planning.py
@@ -1,11 +1,9 @@
-"""Which runs go on at another worker, behind their last event.
+"""Decides which runs move to another worker, where they resume after their last event.
 
-A step is as long as its last few texts, and a text is as slow as the worker it happens to be at.
-Moving one costs the reading of its prompt and of what it has made, some hundredths of a second. So
-a run is moved when its worker has gone silent while others have not, or when so much of its text
-is left that a faster worker with room gains more than the move costs.
+A move costs the prefill of the prompt and of the events so far. A run is moved when its worker is
+silent, or when a faster worker with free slots saves clearly more time than the move costs.
 
->>> slow = RunOutlook("item", Incarnation("i-slow"), 0.12, silent_s=0.1, left_events=50.0)
+>>> slow = RunForecast("item", Incarnation("i-slow"), 0.12, silent_s=0.1, remaining_events=50.0)
 >>> [str(move.target) for move in plan_moves([slow], [MoveTarget(Incarnation("i-fast"), 0.04, 2)])]
 ['i-fast']
 >>> plan_moves([slow], [MoveTarget(Incarnation("i-same"), 0.11, 2)])
@@ -17,91 +15,95 @@
 
 from bellweir.hosted.incarnation import Incarnation
 
-SILENCE_S = 0.35
-"""Time without an event after which a run counts as standing still."""
-SILENT_GAPS = 6.0
-"""The same in gaps between two events at its worker, where that is longer."""
+MIN_SILENCE_S = 0.35
+"""A run counts as silent after this time without an event ..."""
+SILENCE_EVENT_TIMES = 6.0
+"""... or after this many times the time per event of its worker, if that is longer."""
 MOVE_COST_S = 0.15
-"""What a move is taken to cost a run."""
-LEAST_GAIN_S = 0.4
-"""A run that is not silent is moved for no less."""
-LEAST_GAIN_SHARE = 0.2
-"""The same as a share of the time that it would still take where it is."""
+MIN_GAIN_S = 0.4
+"""Least gain for which a run that is not silent is moved ..."""
+MIN_GAIN_SHARE = 0.2
+"""... and the same as a share of its remaining time, if that is more."""
 
 Key = TypeVar("Key")
 
 
-class RunOutlook(Generic[Key]):
-    """A run in hand and what it still needs."""
+class RunForecast(Generic[Key]):
+    """A run in flight and its predicted remaining work."""
 
-    __slots__ = ("key", "left_events", "pace_s", "silent_s", "worker")
+    __slots__ = ("key", "remaining_events", "silent_s", "time_per_event_s", "worker")
 
     def __init__(
-        self, key: Key, worker: Incarnation, pace_s: float, silent_s: float, left_events: float
+        self,
+        key: Key,
+        worker: Incarnation,
+        time_per_event_s: float,
+        silent_s: float,
+        remaining_events: float,
     ) -> None:
         self.key = key
         self.worker = worker
-        self.pace_s = pace_s
+        self.time_per_event_s = time_per_event_s
         self.silent_s = silent_s
-        self.left_events = left_events
+        self.remaining_events = remaining_events
 
     @property
-    def stands_still(self) -> bool:
-        """Whether its next event is long overdue."""
-        return self.silent_s > max(SILENCE_S, SILENT_GAPS * self.pace_s)
+    def is_silent(self) -> bool:
+        """Whether its next event is overdue."""
+        return self.silent_s > max(MIN_SILENCE_S, SILENCE_EVENT_TIMES * self.time_per_event_s)
 
     @property
-    def left_s(self) -> float:
-        """Seconds that it still needs where it is."""
-        return self.left_events * self.pace_s
+    def remaining_s(self) -> float:
+        """Predicted remaining time on its current worker."""
+        return self.remaining_events * self.time_per_event_s
 
 
 class MoveTarget:
-    """A worker that could take runs."""
+    """A worker that can accept runs."""
 
-    __slots__ = ("pace_s", "room", "worker")
+    __slots__ = ("free_slots", "time_per_event_s", "worker")
 
-    def __init__(self, worker: Incarnation, pace_s: float, room: int) -> None:
+    def __init__(self, worker: Incarnation, time_per_event_s: float, free_slots: int) -> None:
         self.worker = worker
-        self.pace_s = pace_s
-        self.room = room
+        self.time_per_event_s = time_per_event_s
+        self.free_slots = free_slots
 
 
 class PlannedMove(Generic[Key]):
-    """A run that is to go on elsewhere."""
+    """A run, the worker that it moves to and the cause."""
 
     __slots__ = ("cause", "run", "target")
 
-    def __init__(self, run: RunOutlook[Key], target: Incarnation, cause: str) -> None:
+    def __init__(self, run: RunForecast[Key], target: Incarnation, cause: str) -> None:
         self.run = run
         self.target = target
         self.cause = cause
 
 
 def plan_moves(
-    runs: Iterable[RunOutlook[Key]], targets: Sequence[MoveTarget]
+    runs: Iterable[RunForecast[Key]], targets: Sequence[MoveTarget]
 ) -> list[PlannedMove[Key]]:
-    """Return the moves that pay, the longest runs first; no target gets more than it has room for.
+    """Return the moves, silent and long runs first; no target gets more than its free slots.
 
-    `targets` are workers that make events now; a silent one must not be among them.
+    `targets` must not contain silent workers.
     """
     moves: list[PlannedMove[Key]] = []
-    for run in sorted(runs, key=lambda one: (one.stands_still, one.left_s), reverse=True):
-        open_targets = [one for one in targets if one.room > 0 and one.worker != run.worker]
-        if not open_targets:
+    for run in sorted(runs, key=lambda one: (one.is_silent, one.remaining_s), reverse=True):
+        candidates = [one for one in targets if one.free_slots > 0 and one.worker != run.worker]
+        if not candidates:
             continue
-        best = min(open_targets, key=lambda one: (one.pace_s, -one.room))
+        best = min(candidates, key=lambda one: (one.time_per_event_s, -one.free_slots))
         cause = _cause(run, best)
         if cause is not None:
-            best.room -= 1
+            best.free_slots -= 1
             moves.append(PlannedMove(run, best.worker, cause))
     return moves
 
 
-def _cause(run: RunOutlook[Key], best: MoveTarget) -> str | None:
-    if run.stands_still:
+def _cause(run: RunForecast[Key], best: MoveTarget) -> str | None:
+    if run.is_silent:
         return "silent"
-    gain_s = run.left_s - run.left_events * best.pace_s - MOVE_COST_S
-    if gain_s >= max(LEAST_GAIN_S, LEAST_GAIN_SHARE * run.left_s):
+    gain_s = run.remaining_s - run.remaining_events * best.time_per_event_s - MOVE_COST_S
+    if gain_s >= max(MIN_GAIN_S, MIN_GAIN_SHARE * run.remaining_s):
         return "faster"
     return None
--- a/src/bellweir/hosted/batches/placement.py
+++ b/src/bellweir/hosted/batches/placement.py
@@ -1,20 +1,14 @@
-"""Places waiting texts at engines by when they would end there.
-
-The load: texts of unlike length at engines of unlike speed, with most places taken. The engine with
-a free place is then often a slow one, and a long text that is put there holds its whole group. So
-for each text the end is predicted at each engine, at once where a place is free, else from the end
-of the run there that ends first. Where waiting ends sooner, the text waits and the free place goes
-to a shorter one, for which the engine's speed matters less. A text waits so for a bounded time: the
-predictions may be wrong.
-
-Memory counts as well as places: what the texts at an engine may take together never exceeds what
-it has, as long as it runs more than one. An engine that lacks memory puts running texts back and
-reads them anew.
-
->>> fast = EngineRoom("fast", pace_s=0.05, places=1, ends_s=[1.0])
->>> slow = EngineRoom("slow", pace_s=0.1, places=1)
->>> texts = [TextNeed("long", 60), TextNeed("short", 10)]
->>> [(one.key, one.engine, one.is_now) for one in EarliestEnd().place(texts, [fast, slow], 0.0)]
+"""Places waiting texts on the engines where they are predicted to end first.
+
+With engines of uneven speed and most slots taken, the free slot is often on a slow engine. A text
+therefore waits for a busy engine if it would end sooner there, for at most `MAX_HOLD_S` because the
+prediction may be wrong; the free slot goes to a shorter text. Texts on one engine never need more
+memory than it has, unless it runs just one: an engine that runs out preempts running texts.
+
+>>> fast = EngineState("fast", time_per_event_s=0.05, slots=1, end_times_s=[1.0])
+>>> slow = EngineState("slow", time_per_event_s=0.1, slots=1)
+>>> texts = [TextDemand("long", 60), TextDemand("short", 10)]
+>>> [(one.key, one.engine, one.starts_now) for one in EarliestEnd().place(texts, [fast, slow], 0.0)]
 [('long', 'fast', False), ('short', 'slow', True)]
 """
 
@@ -23,158 +17,170 @@
 from collections.abc import Iterable, Sequence
 from typing import Generic, TypeVar
 
-CROWDING = 0.25
-"""Share by which an engine that batches is slower with all of its places taken."""
-LONGEST_HOLD_S = 1.0
-"""A text waits no longer for a better engine while another one has room."""
-MOST_HELD = 12
-"""Texts that wait for better engines in one look; further ones take what is free."""
+BATCHING_SLOWDOWN = 0.25
+"""Relative increase of the time per event when all slots of an engine are taken."""
+MAX_HOLD_S = 1.0
+"""A text waits at most this long for a better engine while another one has a free slot."""
+MAX_HELD_TEXTS = 12
+"""Texts held for better engines per scheduling round; further ones take free slots."""
 
 Key = TypeVar("Key")
 EngineKey = TypeVar("EngineKey")
 
 
-class TextNeed(Generic[Key]):
-    """A text that waits for a place."""
+class TextDemand(Generic[Key]):
+    """A text that waits for a slot."""
 
-    __slots__ = ("events", "key", "tokens", "waited_s")
+    __slots__ = ("key", "remaining_events", "tokens", "waited_s")
 
-    def __init__(self, key: Key, events: float, tokens: int = 0, waited_s: float = 0.0) -> None:
-        """`events` are still to be made; `tokens` of memory are taken while they are made.
+    def __init__(
+        self, key: Key, remaining_events: float, tokens: int = 0, waited_s: float = 0.0
+    ) -> None:
+        """`remaining_events` are still to be generated; `tokens` is the memory needed for that.
 
-        `waited_s`: how long it has waited although an engine had room for it.
+        `waited_s`: how long it has been held although an engine had a free slot.
         """
         self.key = key
-        self.events = events
+        self.remaining_events = remaining_events
         self.tokens = tokens
         self.waited_s = waited_s
 
 
-class EngineRoom(Generic[EngineKey]):
-    """An engine and what it has in hand; changed by placing."""
+class EngineState(Generic[EngineKey]):
+    """Slots, memory and predicted end times of an engine; updated by each placement."""
 
-    __slots__ = ("ends_s", "free_tokens", "key", "pace_s", "places", "runs")
+    __slots__ = ("end_times_s", "free_tokens", "in_flight", "key", "slots", "time_per_event_s")
 
     def __init__(
         self,
         key: EngineKey,
-        pace_s: float,
-        places: int,
-        ends_s: Iterable[float] = (),
+        time_per_event_s: float,
+        slots: int,
+        end_times_s: Iterable[float] = (),
         free_tokens: int | None = None,
     ) -> None:
-        """`ends_s`: when each run there is expected to end; `pace_s`: seconds an event.
+        """`end_times_s`: predicted end of each run in flight.
 
-        `free_tokens` of memory are left; None: it is not known.
+        `free_tokens`: unused memory in tokens; None if unknown.
         """
         self.key = key
-        self.pace_s = pace_s
-        self.places = places
-        self.ends_s = list(ends_s)
-        heapq.heapify(self.ends_s)
-        self.runs = len(self.ends_s)
+        self.time_per_event_s = time_per_event_s
+        self.slots = slots
+        self.end_times_s = list(end_times_s)
+        heapq.heapify(self.end_times_s)
+        self.in_flight = len(self.end_times_s)
         self.free_tokens = free_tokens
 
     @property
-    def has_place(self) -> bool:
-        """Whether a text may begin now, as far as places go."""
-        return self.runs < self.places
-
-    def has_memory(self, text: TextNeed[Key]) -> bool:
-        """Whether there is memory for a text; an engine without runs takes any."""
-        return self.free_tokens is None or self.runs == 0 or text.tokens <= self.free_tokens
-
-    def end_s(self, text: TextNeed[Key], now_s: float) -> float:
-        """When a text would end here if it took the first place that gets free."""
-        begins_s = now_s
-        if len(self.ends_s) >= self.places > 0:
-            begins_s = max(now_s, self.ends_s[0])
-        share = min(self.places, len(self.ends_s) + 1) / max(1, self.places)
-        return begins_s + text.events * self.pace_s * (1 + CROWDING * share)
-
-    def take(self, text: TextNeed[Key], now_s: float, *, is_now: bool) -> None:
-        """Give a text the first place that gets free."""
-        end_s = self.end_s(text, now_s)
-        if len(self.ends_s) >= self.places:
-            heapq.heapreplace(self.ends_s, end_s)
+    def has_free_slot(self) -> bool:
+        """Whether a slot is free; memory is checked separately."""
+        return self.in_flight < self.slots
+
+    def has_memory(self, text: TextDemand[Key]) -> bool:
+        """Whether there is memory for a text; an idle engine accepts any text."""
+        return self.free_tokens is None or self.in_flight == 0 or text.tokens <= self.free_tokens
+
+    def predicted_end_s(self, text: TextDemand[Key], now_s: float) -> float:
+        """Predict when a text ends here if it takes the first slot that becomes free."""
+        start_s = now_s
+        if len(self.end_times_s) >= self.slots > 0:
+            start_s = max(now_s, self.end_times_s[0])
+        share = min(self.slots, len(self.end_times_s) + 1) / max(1, self.slots)
+        return start_s + text.remaining_events * self.time_per_event_s * (
+            1 + BATCHING_SLOWDOWN * share
+        )
+
+    def assign(self, text: TextDemand[Key], now_s: float, *, starts_now: bool) -> None:
+        """Assign the first slot that becomes free to a text."""
+        predicted_end_s = self.predicted_end_s(text, now_s)
+        if len(self.end_times_s) >= self.slots:
+            heapq.heapreplace(self.end_times_s, predicted_end_s)
         else:
-            heapq.heappush(self.ends_s, end_s)
-        if is_now:
-            self.runs += 1
+            heapq.heappush(self.end_times_s, predicted_end_s)
+        if starts_now:
+            self.in_flight += 1
             if self.free_tokens is not None:
                 self.free_tokens -= text.tokens
 
 
-class Placed(Generic[Key, EngineKey]):
-    """Where a text goes."""
+class PlacedText(Generic[Key, EngineKey]):
+    """A text and the engine that it is assigned to."""
 
-    __slots__ = ("end_s", "engine", "is_now", "key")
+    __slots__ = ("engine", "key", "predicted_end_s", "starts_now")
 
-    def __init__(self, key: Key, engine: EngineKey, end_s: float, *, is_now: bool) -> None:
-        """`end_s` is the predicted end; without `is_now` the text waits for the engine."""
+    def __init__(
+        self, key: Key, engine: EngineKey, predicted_end_s: float, *, starts_now: bool
+    ) -> None:
+        """If not `starts_now`, the text waits for the engine."""
         self.key = key
         self.engine = engine
-        self.end_s = end_s
-        self.is_now = is_now
+        self.predicted_end_s = predicted_end_s
+        self.starts_now = starts_now
 
 
-class Placement(ABC):
-    """Places texts, in their order, as long as an engine has a place."""
+class PlacementPolicy(ABC):
+    """Places texts in the given order while any engine has a free slot."""
 
     def place(
         self,
-        texts: Iterable[TextNeed[Key]],
-        engines: Sequence[EngineRoom[EngineKey]],
+        texts: Iterable[TextDemand[Key]],
+        engines: Sequence[EngineState[EngineKey]],
         now_s: float,
-    ) -> list[Placed[Key, EngineKey]]:
-        """Return where texts go; those that are not named wait for any place."""
-        placed: list[Placed[Key, EngineKey]] = []
+    ) -> list[PlacedText[Key, EngineKey]]:
+        """Return placements; texts without one wait for any free slot."""
+        placed: list[PlacedText[Key, EngineKey]] = []
         held = 0
         for text in texts:
-            free = [engine for engine in engines if engine.has_place]
+            free = [engine for engine in engines if engine.has_free_slot]
             if not free:
                 break
-            # With so many waiting for better engines the others are needed too.
-            chosen = self.choose(text, engines if held < MOST_HELD else free, now_s)
+            # Once many texts are held for better engines, the other engines are used too.
+            chosen = self.choose(text, engines if held < MAX_HELD_TEXTS else free, now_s)
             if chosen is None:
                 continue
-            is_now = chosen.has_place and chosen.has_memory(text)
-            placed.append(Placed(text.key, chosen.key, chosen.end_s(text, now_s), is_now=is_now))
-            chosen.take(text, now_s, is_now=is_now)
-            held += not is_now
+            starts_now = chosen.has_free_slot and chosen.has_memory(text)
+            placed.append(
+                PlacedText(
+                    text.key, chosen.key, chosen.predicted_end_s(text, now_s), starts_now=starts_now
+                )
+            )
+            chosen.assign(text, now_s, starts_now=starts_now)
+            held += not starts_now
         return placed
 
     @abstractmethod
     def choose(
-        self, text: TextNeed[Key], engines: Sequence[EngineRoom[EngineKey]], now_s: float
-    ) -> EngineRoom[EngineKey] | None:
-        """Return the engine for a text; None: it waits for any."""
+        self, text: TextDemand[Key], engines: Sequence[EngineState[EngineKey]], now_s: float
+    ) -> EngineState[EngineKey] | None:
+        """Return the engine for a text, or None if it waits for any."""
 
 
-class FastestFree(Placement):
-    """The engine with a free place that makes events fastest."""
+class FastestFree(PlacementPolicy):
+    """Picks the fastest engine with a free slot."""
 
     def choose(
-        self, text: TextNeed[Key], engines: Sequence[EngineRoom[EngineKey]], now_s: float
-    ) -> EngineRoom[EngineKey] | None:
-        """Return the fastest engine that can begin now."""
-        free = [one for one in engines if one.has_place and one.has_memory(text)]
-        return min(free, key=lambda one: one.end_s(text, now_s), default=None)
+        self, text: TextDemand[Key], engines: Sequence[EngineState[EngineKey]], now_s: float
+    ) -> EngineState[EngineKey] | None:
+        """Return the fastest engine that can start the text now."""
+        free = [one for one in engines if one.has_free_slot and one.has_memory(text)]
+        return min(free, key=lambda one: one.predicted_end_s(text, now_s), default=None)
 
 
-class EarliestEnd(Placement):
-    """The engine at which a text ends first, also if it has to wait for it."""
+class EarliestEnd(PlacementPolicy):
+    """Picks the engine where the text ends first, even if it has to wait for a slot."""
 
     def choose(
-        self, text: TextNeed[Key], engines: Sequence[EngineRoom[EngineKey]], now_s: float
-    ) -> EngineRoom[EngineKey] | None:
-        """Return the engine with the first end, one that can begin now after a long wait."""
-        free = [one for one in engines if one.has_place and one.has_memory(text)]
-        found = free if text.waited_s >= LONGEST_HOLD_S else [*engines]
-        best = min(found, key=lambda one: one.end_s(text, now_s), default=None)
+        self, text: TextDemand[Key], engines: Sequence[EngineState[EngineKey]], now_s: float
+    ) -> EngineState[EngineKey] | None:
+        """Return the engine with the earliest end; after `MAX_HOLD_S`, one with a free slot."""
+        free = [one for one in engines if one.has_free_slot and one.has_memory(text)]
+        found = free if text.waited_s >= MAX_HOLD_S else [*engines]
+        best = min(found, key=lambda one: one.predicted_end_s(text, now_s), default=None)
         if best in free or not free:
             return best if free else None
-        # Of equal ends the one that begins now.
-        first = min(free, key=lambda one: one.end_s(text, now_s))
-        is_no_later = best is None or first.end_s(text, now_s) <= best.end_s(text, now_s)
+        # On a tie, prefer the engine that can start the text now.
+        first = min(free, key=lambda one: one.predicted_end_s(text, now_s))
+        is_no_later = best is None or first.predicted_end_s(text, now_s) <= best.predicted_end_s(
+            text, now_s
+        )
         return first if is_no_later else best
--- a/src/bellweir/hosted/batches/refusals.py
+++ b/src/bellweir/hosted/batches/refusals.py
@@ -1,19 +1,16 @@
-"""Holds runs back from workers that refuse a model, as they do while they load its weights.
+"""Holds runs back from workers that refuse a model, as they do while loading its weights.
 
-A worker that refused a run is left alone for a moment and then gets one run at a time, until it
-takes one. Without that, every free slot of a worker that loads would be tried again and again:
-its own requests in hand are few, so it looks like the best choice. Other models of the same
-worker are not touched.
-
-Where the node that orders loads tells of them, the worker is left alone before it has refused
-anything, for as long as the load is expected to take.
+A worker that refused a run backs off briefly and then gets one run at a time until it accepts one;
+otherwise its free slots would attract runs that it refuses again. Other models on the same worker
+are not affected. Where a weight load is announced, the backoff starts before the first refusal and
+lasts for the expected load time.
 
 >>> refusals = RefusalBackoff(now_s=lambda: 1.0)
 >>> worker = Incarnation("i-1")
->>> refusals.refused(worker, "m")
+>>> refusals.record_refusal(worker, "m")
 >>> refusals.may_start(worker, "m"), refusals.may_start(worker, "other")
 (False, True)
->>> refusals.accepted(worker, "m")
+>>> refusals.record_accepted(worker, "m")
 >>> refusals.may_start(worker, "m")
 True
 """
@@ -25,86 +22,85 @@
 from bellweir.hosted.incarnation import Incarnation
 from bellweir.hosted.weights.load_news import LoadListener
 
-PAUSE_S = 0.12
-"""Time after a refusal before the worker is tried again."""
-LONGEST_LOAD_S = 5.0
-"""A worker is tried again after this time, whatever was told of its load: the word that the load
-has ended may be lost."""
+REFUSAL_BACKOFF_S = 0.12
+MAX_WEIGHT_LOAD_S = 5.0
+"""Upper bound of the backoff: the message that a load has ended may be lost."""
 
 
-class _Refusal:
-    __slots__ = ("is_tried", "until_s")
+class _Backoff:
+    __slots__ = ("is_probed", "until_s")
 
     def __init__(self, until_s: float) -> None:
         self.until_s = until_s
-        self.is_tried = False
+        self.is_probed = False
 
 
 class RefusalBackoff(LoadListener):
-    """What refused lately, by worker and model. Safe for threads.
+    """Backoff by worker and model. Thread-safe.
 
-    Every run that `started` was called for ends with one of `accepted`, `refused` and `ended`.
+    Every `record_start` must be followed by one of `record_accepted`, `record_refusal` and
+    `record_end`.
     """
 
     def __init__(self, now_s: Callable[[], float] = time.monotonic) -> None:
         self._now_s = now_s
         self._lock = threading.Lock()
-        self._refusals: dict[tuple[Incarnation, str], _Refusal] = {}
+        self._backoffs: dict[tuple[Incarnation, str], _Backoff] = {}
 
     def may_start(self, worker: Incarnation, model: str) -> bool:
-        """Tell whether a run of a model may be sent to a worker now."""
+        """Return whether a run of a model may be sent to a worker now."""
         with self._lock:
-            found = self._refusals.get((worker, model))
-            return found is None or (not found.is_tried and self._now_s() >= found.until_s)
+            backoff = self._backoffs.get((worker, model))
+            return backoff is None or (not backoff.is_probed and self._now_s() >= backoff.until_s)
 
     def paused_worker_count(self) -> int:
-        """Workers that get no run of some model now."""
+        """Number of workers that get no runs of some model now."""
         with self._lock:
             now_s = self._now_s()
-            return len({key[0] for key, one in self._refusals.items() if now_s < one.until_s})
+            return len({key[0] for key, one in self._backoffs.items() if now_s < one.until_s})
 
-    def started(self, worker: Incarnation, model: str) -> None:
-        """Note that a run is sent; after a refusal no other one is until it is answered."""
+    def record_start(self, worker: Incarnation, model: str) -> None:
+        """Record that a run is sent; after a refusal no other run is sent until it is answered."""
         with self._lock:
-            found = self._refusals.get((worker, model))
-            if found is not None:
-                found.is_tried = True
+            backoff = self._backoffs.get((worker, model))
+            if backoff is not None:
+                backoff.is_probed = True
 
-    def accepted(self, worker: Incarnation, model: str) -> None:
-        """Note that the worker took a run: it may get as many as it has room for."""
+    def record_accepted(self, worker: Incarnation, model: str) -> None:
+        """Record that the worker accepted a run, which ends the backoff."""
         with self._lock:
-            self._refusals.pop((worker, model), None)
+            self._backoffs.pop((worker, model), None)
 
-    def refused(self, worker: Incarnation, model: str) -> None:
-        """Note that the worker refused a run without running it."""
+    def record_refusal(self, worker: Incarnation, model: str) -> None:
+        """Record that the worker refused a run without starting it."""
         with self._lock:
-            self._leave_alone(worker, model, PAUSE_S)
+            self._back_off(worker, model, REFUSAL_BACKOFF_S)
 
     def load_told(self, worker: Incarnation, model: str, for_s: float) -> None:
-        """Leave a worker alone while it loads; 0: it may get as many runs as it has room for."""
+        """Back off while a worker loads a model's weights; 0 ends the backoff."""
         with self._lock:
             if for_s > 0:
-                self._leave_alone(worker, model, min(for_s, LONGEST_LOAD_S))
+                self._back_off(worker, model, min(for_s, MAX_WEIGHT_LOAD_S))
             else:
-                self._refusals.pop((worker, model), None)
+                self._backoffs.pop((worker, model), None)
 
-    def _leave_alone(self, worker: Incarnation, model: str, for_s: float) -> None:
-        """Begin anew with one run at a time, and not before an earlier word allows it."""
+    def _back_off(self, worker: Incarnation, model: str, for_s: float) -> None:
+        """Restart the backoff; it never ends before an earlier one would have."""
         until_s = self._now_s() + for_s
-        known = self._refusals.get((worker, model))
+        known = self._backoffs.get((worker, model))
         if known is not None:
             until_s = max(until_s, known.until_s)
-        self._refusals[worker, model] = _Refusal(until_s)
+        self._backoffs[worker, model] = _Backoff(until_s)
 
-    def ended(self, worker: Incarnation, model: str) -> None:
-        """Note that a run ended without telling whether the worker takes runs."""
+    def record_end(self, worker: Incarnation, model: str) -> None:
+        """Record that a run ended without showing whether the worker accepts runs."""
         with self._lock:
-            found = self._refusals.get((worker, model))
-            if found is not None:
-                found.is_tried = False
+            backoff = self._backoffs.get((worker, model))
+            if backoff is not None:
+                backoff.is_probed = False
 
     def retain(self, incarnations: set[Incarnation]) -> None:
-        """Drop what is known of workers that are gone."""
+        """Drop the state of all other workers."""
         with self._lock:
-            kept = {key: one for key, one in self._refusals.items() if key[0] in incarnations}
-            self._refusals = kept
+            kept = {key: one for key, one in self._backoffs.items() if key[0] in incarnations}
+            self._backoffs = kept
--- a/src/bellweir/hosted/batches/step_ordering.py
+++ b/src/bellweir/hosted/batches/step_ordering.py
@@ -1,26 +1,23 @@
-"""Orders what waits of all open steps of all trainers.
+"""Orders the groups of open steps of all trainers that compete for the same engines.
 
-The load: steps of several trainers that want more of the same engines than there is for a while.
-Callers wait for whole groups by the step's due time. Room spent on a group that comes late anyway
-is room that another group needed to be in time, so what matters is how many of the groups that
-trainers wait for can be in time together. That is decided group by group, as Moore and Hodgson do
-it: groups are taken by due time; when the work taken so far can't be done by a group's due time,
-one of those taken is put behind, that with the lowest priority, of the tenant that has most taken,
-with the most work left. So groups that are nearly whole stay in, and small tenants keep their part.
+A step's trainer waits for a number of whole groups by the step's due time. The order maximizes the
+number of needed groups that are in time, by the algorithm of Moore and Hodgson for minimizing late
+jobs: groups are added by due time, and when those added can't be finished by the due time of the
+latest one, a group is deferred: the one with the lowest priority, then of the tenant with the most
+work, then with the most work left. Late groups follow and keep a small share of the slots, so that
+they end under any load; surplus groups, which no trainer waits for, come last.
 
-Groups that a trainer does not wait for come last, those of its largest ones that are furthest from
-whole. Those that can't be in time come between; they keep a small share of the places, so that they
-end however long the others press on.
-
-A text takes its events times the pace of the engines. The work of a group is that of its texts; it
-ends no sooner than its longest text.
+The work of a group is the number of events that its texts still need.
 
 >>> def step(job, due_s, *works):
-...     groups = [GroupNeed(f"{job}-{n}", work, longest=work) for n, work in enumerate(works)]
-...     return StepNeed(job, due_s, groups, wanted=len(works))
->>> engines = EnginesRoom(places=1, pace_s=0.1)
->>> order = MostInTime().order([step("a", 5.0, 20, 40), step("b", 4.0, 30)], engines, now_s=0.0)
->>> [(one.group, one.standing.value) for one in order]
+...     groups = [
+...         GroupDemand(f"{job}-{n}", work, longest_remaining_events=work)
+...         for n, work in enumerate(works)
+...     ]
+...     return StepDemand(job, due_s, groups, wanted=len(works))
+>>> pool = EnginePool(slots=1, time_per_event_s=0.1)
+>>> order = MostInTime().order([step("a", 5.0, 20, 40), step("b", 4.0, 30)], pool, now_s=0.0)
+>>> [(one.group, one.status.value) for one in order]
 [('b-0', 'in_time'), ('a-0', 'in_time'), ('a-1', 'late')]
 """
 
@@ -29,43 +26,47 @@
 from collections.abc import Iterable, Sequence
 from enum import Enum
 
-LATE_SHARE = 0.3
-"""Share of the places that groups which can't be in time keep: their trainers ask for no further
-step until they are whole or given up."""
-USUAL_PRIORITY = 5
+LATE_SLOT_SHARE = 0.3
+"""Share of the slots kept for late groups: their trainers request no further step meanwhile."""
+DEFAULT_PRIORITY = 5
 
 
-class Standing(Enum):
-    """What becomes of a group, as far as can be told now."""
+class GroupStatus(Enum):
+    """Predicted outcome of a group."""
 
     IN_TIME = "in_time"
     LATE = "late"
-    """It can't be whole by its due time beside others."""
+    """It can't be complete by its due time beside the other groups."""
     SURPLUS = "surplus"
-    """Its trainer does not wait for it."""
+    """Its trainer doesn't wait for it."""
 
 
-class GroupNeed:
-    """What a group that is not whole still needs."""
+class GroupDemand:
+    """Remaining work of an incomplete group."""
 
-    __slots__ = ("longest", "name", "running", "waiting", "work")
+    __slots__ = ("longest_remaining_events", "name", "remaining_events", "running", "waiting")
 
     def __init__(
-        self, name: str, work: float, longest: float, waiting: int = 1, running: int = 0
+        self,
+        name: str,
+        remaining_events: float,
+        longest_remaining_events: float,
+        waiting: int = 1,
+        running: int = 0,
     ) -> None:
-        """`work`: events that its texts still need; `longest`: those of the longest one.
+        """`remaining_events` is the sum over its texts, `longest_remaining_events` the maximum.
 
-        `waiting` texts are at no worker, `running` ones hold a place each.
+        `waiting` texts are on no worker; `running` ones take a slot each.
         """
         self.name = name
-        self.work = work
-        self.longest = longest
+        self.remaining_events = remaining_events
+        self.longest_remaining_events = longest_remaining_events
         self.waiting = waiting
         self.running = running
 
 
-class StepNeed:
-    """What an open step still needs."""
+class StepDemand:
+    """Remaining work of an open step."""
 
     __slots__ = ("due_s", "groups", "job", "priority", "tenant", "wanted")
 
@@ -73,14 +74,14 @@
         self,
         job: str,
         due_s: float,
-        groups: Iterable[GroupNeed],
+        groups: Iterable[GroupDemand],
         wanted: int,
-        priority: int = USUAL_PRIORITY,
+        priority: int = DEFAULT_PRIORITY,
         tenant: str = "",
     ) -> None:
-        """`groups` are not whole yet; the trainer waits for `wanted` more of them.
+        """`groups` are incomplete; the trainer waits for `wanted` more of them.
 
-        `due_s` is on the clock that `order` is given; priority 0 goes first.
+        `due_s` is on the clock of `now_s` in `order`; priority 0 is the highest.
         """
         self.job = job
         self.due_s = due_s
@@ -90,192 +91,208 @@
         self.tenant = tenant
 
 
-class EnginesRoom:
+class EnginePool:
     """The engines that steps compete for."""
 
-    __slots__ = ("pace_s", "places")
+    __slots__ = ("slots", "time_per_event_s")
 
-    def __init__(self, places: int, pace_s: float) -> None:
-        """`places` texts are made at once, each at `pace_s` seconds an event."""
-        self.places = max(1, places)
-        self.pace_s = pace_s
+    def __init__(self, slots: int, time_per_event_s: float) -> None:
+        """`time_per_event_s` is the mean over the slots."""
+        self.slots = max(1, slots)
+        self.time_per_event_s = time_per_event_s
 
 
 class OrderedGroup:
-    """A group in its place of the order, with what put it there."""
+    """A group, its status and its slack."""
 
-    __slots__ = ("group", "job", "slack_s", "standing")
+    __slots__ = ("group", "job", "slack_s", "status")
 
-    def __init__(self, job: str, group: str, standing: Standing, slack_s: float) -> None:
-        """`slack_s`: time left at its due time if what comes before it goes as expected."""
+    def __init__(self, job: str, group: str, status: GroupStatus, slack_s: float) -> None:
+        """`slack_s`: due time minus predicted end."""
         self.job = job
         self.group = group
-        self.standing = standing
+        self.status = status
         self.slack_s = slack_s
 
 
-class StepOrder(ABC):
-    """Orders groups of open steps. The order is total, and the same for the same needs."""
+class OrderingPolicy(ABC):
+    """Orders the groups of open steps. The order is total and deterministic."""
 
     @abstractmethod
     def order(
-        self, steps: Sequence[StepNeed], engines: EnginesRoom, now_s: float
+        self, steps: Sequence[StepDemand], pool: EnginePool, now_s: float
     ) -> list[OrderedGroup]:
-        """Return each group once, the first to get places first. `steps` come oldest first."""
+        """Return each group once, in scheduling order. `steps` are ordered by age, oldest first."""
 
 
-class OldestFirst(StepOrder):
-    """Steps as they were handed in, whoever's they are and whatever they need.
+class OldestFirst(OrderingPolicy):
+    """First in, first out.
 
-    Like the next two not used by the service; `bench.step_replay` compares with it.
+    This and the next two policies are baselines for `bench.step_replay`; the service doesn't
+    use them.
     """
 
     def order(
-        self, steps: Sequence[StepNeed], engines: EnginesRoom, now_s: float
+        self, steps: Sequence[StepDemand], pool: EnginePool, now_s: float
     ) -> list[OrderedGroup]:
-        """Return groups by their step's age."""
-        return _as_taken([(step, group) for step in steps for group in step.groups], engines, now_s)
+        """Return groups by the age of their step."""
+        return _with_slack([(step, group) for step in steps for group in step.groups], pool, now_s)
 
 
-class EarliestDue(StepOrder):
-    """Steps by due time, surplus groups of all steps last."""
+class EarliestDue(OrderingPolicy):
+    """Earliest due date first, surplus groups of all steps last."""
 
     def order(
-        self, steps: Sequence[StepNeed], engines: EnginesRoom, now_s: float
+        self, steps: Sequence[StepDemand], pool: EnginePool, now_s: float
     ) -> list[OrderedGroup]:
-        """Return groups by their step's due time."""
-        needed, surplus = _divided(sorted(steps, key=_by_due))
-        return _as_taken([*needed, *surplus], engines, now_s, len(needed))
+        """Return groups by the due time of their step."""
+        needed, surplus = _split_surplus(sorted(steps, key=_due_order))
+        return _with_slack([*needed, *surplus], pool, now_s, len(needed))
 
 
-class LeastSlack(StepOrder):
-    """Steps by what they have to spare; those that can't be in time behind those that can."""
+class LeastSlack(OrderingPolicy):
+    """Least slack first; late steps after those that can be in time."""
 
     def order(
-        self, steps: Sequence[StepNeed], engines: EnginesRoom, now_s: float
+        self, steps: Sequence[StepDemand], pool: EnginePool, now_s: float
     ) -> list[OrderedGroup]:
-        """Return groups by their step's slack, as if it had all engines."""
-        slacks = {step.job: _slack_s(step, engines, now_s) for step in steps}
+        """Return groups by the slack of their step, computed as if it had all engines."""
+        slacks = {step.job: _slack_s(step, pool, now_s) for step in steps}
         by_slack = sorted(
             steps, key=lambda step: (slacks[step.job] < 0, slacks[step.job], step.job)
         )
-        needed, surplus = _divided(by_slack)
-        return _as_taken([*needed, *surplus], engines, now_s, len(needed))
+        needed, surplus = _split_surplus(by_slack)
+        return _with_slack([*needed, *surplus], pool, now_s, len(needed))
 
 
-class MostInTime(StepOrder):
-    """As many groups in time as can be together; see the module."""
+class MostInTime(OrderingPolicy):
+    """Maximizes the number of needed groups that are in time."""
 
     def order(
-        self, steps: Sequence[StepNeed], engines: EnginesRoom, now_s: float
+        self, steps: Sequence[StepDemand], pool: EnginePool, now_s: float
     ) -> list[OrderedGroup]:
-        """Return groups in time by due time, then those that are late, then surplus ones."""
-        needed, surplus = _divided(sorted(steps, key=_by_due))
-        in_time, late = _in_time(needed, engines, now_s)
-        late_names = {(step.job, group.name) for step, group in late}
-        late_places = sum(group.running for _, group in late)
-        kept = [one for one in late if one[1].waiting]
-        if in_time and kept and late_places < int(LATE_SHARE * engines.places):
-            late.remove(kept[0])
-            in_time = [kept[0], *in_time]
-        ordered = _as_taken([*in_time, *late, *surplus], engines, now_s, len(needed))
+        """Return groups in time by due time, then late ones, then surplus ones."""
+        needed, surplus = _split_surplus(sorted(steps, key=_due_order))
+        in_time, late = _split_late(needed, pool, now_s)
+        late_keys = {(step.job, group.name) for step, group in late}
+        late_slots = sum(group.running for _, group in late)
+        waiting_late = [one for one in late if one[1].waiting]
+        if in_time and waiting_late and late_slots < int(LATE_SLOT_SHARE * pool.slots):
+            late.remove(waiting_late[0])
+            in_time = [waiting_late[0], *in_time]
+        ordered = _with_slack([*in_time, *late, *surplus], pool, now_s, len(needed))
         for one in ordered:
-            if one.standing is not Standing.SURPLUS:
-                is_late = (one.job, one.group) in late_names
-                one.standing = Standing.LATE if is_late else Standing.IN_TIME
+            if one.status is not GroupStatus.SURPLUS:
+                is_late = (one.job, one.group) in late_keys
+                one.status = GroupStatus.LATE if is_late else GroupStatus.IN_TIME
         return ordered
 
 
-def blocks(ordered: Iterable[OrderedGroup]) -> dict[tuple[str, str], int]:
-    """Number the parts of an order in which the longest texts go first, by job and group.
+def number_blocks(ordered: Iterable[OrderedGroup]) -> dict[tuple[str, str], int]:
+    """Number the blocks of an order, within which the longest texts go first, by job and group.
 
-    All of a step's groups that can be in time are one part, as are its surplus ones: the step is
-    done sooner when its longest texts begin first. Late groups end one after the other.
+    Groups of a step that can be in time form one block, as do its surplus ones: the step ends
+    sooner when its longest texts start first. Each late group is a block of its own.
 
-    >>> groups = [OrderedGroup("j", name, Standing.IN_TIME, 1.0) for name in ("a", "b")]
-    >>> blocks([*groups, OrderedGroup("j", "c", Standing.LATE, -1.0)])
+    >>> groups = [OrderedGroup("j", name, GroupStatus.IN_TIME, 1.0) for name in ("a", "b")]
+    >>> number_blocks([*groups, OrderedGroup("j", "c", GroupStatus.LATE, -1.0)])
     {('j', 'a'): 0, ('j', 'b'): 0, ('j', 'c'): 1}
     """
-    found: dict[tuple[str, str], int] = {}
+    numbers: dict[tuple[str, str], int] = {}
     number = -1
-    before: OrderedGroup | None = None
+    previous: OrderedGroup | None = None
     for one in ordered:
-        is_same = before is not None and (before.job, before.standing) == (one.job, one.standing)
-        if not is_same or one.standing is Standing.LATE:
+        is_same = previous is not None and (previous.job, previous.status) == (one.job, one.status)
+        if not is_same or one.status is GroupStatus.LATE:
             number += 1
-        found[one.job, one.group] = number
-        before = one
-    return found
+        numbers[one.job, one.group] = number
+        previous = one
+    return numbers
 
 
-Taken = tuple[StepNeed, GroupNeed]
+StepGroup = tuple[StepDemand, GroupDemand]
 
 
-def _by_due(step: StepNeed) -> tuple[float, int, str]:
+def _due_order(step: StepDemand) -> tuple[float, int, str]:
     return step.due_s, step.priority, step.job
 
 
-def _divided(steps: Iterable[StepNeed]) -> tuple[list[Taken], list[Taken]]:
-    """Groups that trainers wait for, and surplus ones; in each step the nearest to whole first."""
-    needed: list[Taken] = []
-    surplus: list[Taken] = []
+def _split_surplus(steps: Iterable[StepDemand]) -> tuple[list[StepGroup], list[StepGroup]]:
+    """Split into needed and surplus groups; in each step those with the least work first."""
+    needed: list[StepGroup] = []
+    surplus: list[StepGroup] = []
     for step in steps:
-        nearest = sorted(step.groups, key=lambda group: (group.work, group.name))
-        needed += [(step, group) for group in nearest[: step.wanted]]
-        surplus += [(step, group) for group in nearest[step.wanted :]]
+        by_work = sorted(step.groups, key=lambda group: (group.remaining_events, group.name))
+        needed += [(step, group) for group in by_work[: step.wanted]]
+        surplus += [(step, group) for group in by_work[step.wanted :]]
     return needed, surplus
 
 
-def _in_time(
-    needed: Sequence[Taken], engines: EnginesRoom, now_s: float
-) -> tuple[list[Taken], list[Taken]]:
-    """Divide groups, ordered by due time, into those that can be in time together and others."""
-    taken: list[Taken] = []
-    late: list[Taken] = []
+def _split_late(
+    needed: Sequence[StepGroup], pool: EnginePool, now_s: float
+) -> tuple[list[StepGroup], list[StepGroup]]:
+    """Split groups, ordered by due time, into those that can be in time together and late ones."""
+    scheduled: list[StepGroup] = []
+    late: list[StepGroup] = []
     work = 0.0
-    work_of: defaultdict[str, float] = defaultdict(float)
+    work_by_tenant: defaultdict[str, float] = defaultdict(float)
     for step, group in needed:
-        left_s = step.due_s - now_s
-        if group.longest * engines.pace_s > left_s:
+        remaining_s = step.due_s - now_s
+        if group.longest_remaining_events * pool.time_per_event_s > remaining_s:
             late.append((step, group))
             continue
-        taken.append((step, group))
-        work += group.work
-        work_of[step.tenant] += group.work
-        while taken and work * engines.pace_s / engines.places > left_s:
-            worst = max(
-                taken, key=lambda one: (one[0].priority, work_of[one[0].tenant], one[1].work)
+        scheduled.append((step, group))
+        work += group.remaining_events
+        work_by_tenant[step.tenant] += group.remaining_events
+        while scheduled and work * pool.time_per_event_s / pool.slots > remaining_s:
+            deferred = max(
+                scheduled,
+                key=lambda one: (
+                    one[0].priority,
+                    work_by_tenant[one[0].tenant],
+                    one[1].remaining_events,
+                ),
             )
-            taken.remove(worst)
-            late.append(worst)
-            work -= worst[1].work
-            work_of[worst[0].tenant] -= worst[1].work
-    late.sort(key=lambda one: (one[0].priority, one[0].due_s, one[1].work, one[0].job, one[1].name))
-    return taken, late
+            scheduled.remove(deferred)
+            late.append(deferred)
+            work -= deferred[1].remaining_events
+            work_by_tenant[deferred[0].tenant] -= deferred[1].remaining_events
+    late.sort(
+        key=lambda one: (
+            one[0].priority,
+            one[0].due_s,
+            one[1].remaining_events,
+            one[0].job,
+            one[1].name,
+        )
+    )
+    return scheduled, late
 
 
-def _slack_s(step: StepNeed, engines: EnginesRoom, now_s: float) -> float:
-    nearest = sorted(step.groups, key=lambda group: group.work)[: step.wanted]
-    work = sum(group.work for group in nearest)
-    longest = max((group.longest for group in nearest), default=0.0)
-    return step.due_s - now_s - engines.pace_s * max(longest, work / engines.places)
+def _slack_s(step: StepDemand, pool: EnginePool, now_s: float) -> float:
+    by_work = sorted(step.groups, key=lambda group: group.remaining_events)[: step.wanted]
+    work = sum(group.remaining_events for group in by_work)
+    longest = max((group.longest_remaining_events for group in by_work), default=0.0)
+    return step.due_s - now_s - pool.time_per_event_s * max(longest, work / pool.slots)
 
 
-def _as_taken(
-    taken: Sequence[Taken], engines: EnginesRoom, now_s: float, needed: int | None = None
+def _with_slack(
+    scheduled: Sequence[StepGroup], pool: EnginePool, now_s: float, needed: int | None = None
 ) -> list[OrderedGroup]:
-    """Groups in the order in which they are taken, each with its slack after those before it.
+    """Compute each group's slack when groups run in the given order.
 
-    Those behind the first `needed` ones are surplus.
+    Groups after the first `needed` ones are surplus.
     """
     ordered = []
     work = 0.0
-    for number, (step, group) in enumerate(taken):
-        work += group.work
-        ends_s = now_s + engines.pace_s * max(group.longest, work / engines.places)
-        slack_s = step.due_s - ends_s
-        standing = Standing.IN_TIME if slack_s >= 0 else Standing.LATE
+    for number, (step, group) in enumerate(scheduled):
+        work += group.remaining_events
+        end_s = now_s + pool.time_per_event_s * max(
+            group.longest_remaining_events, work / pool.slots
+        )
+        slack_s = step.due_s - end_s
+        status = GroupStatus.IN_TIME if slack_s >= 0 else GroupStatus.LATE
         if needed is not None and number >= needed:
-            standing = Standing.SURPLUS
-        ordered.append(OrderedGroup(step.job, group.name, standing, slack_s))
+            status = GroupStatus.SURPLUS
+        ordered.append(OrderedGroup(step.job, group.name, status, slack_s))
     return ordered
--- a/src/bellweir/hosted/batches/step_scheduler.py
+++ b/src/bellweir/hosted/batches/step_scheduler.py
@@ -1,8 +1,8 @@
-"""Keeps the order in which items of open steps get places, where several trainers want them.
+"""Ranks the items of open steps when several trainers compete for the same engines.
 
-Where only one route's steps want a service's engines, they go oldest first, the longest texts of
-each step first. Where several do, `step_order` orders their groups; the order is made anew some
-times a second, and at once when a step comes or ends.
+Where the steps of only one trainer use a service, they run oldest first, the longest texts of each
+step first. Where several trainers compete, `step_ordering` orders their groups; the order is
+recomputed every `ORDER_INTERVAL_S`, and at once when a step is added or ends.
 """
 
 import time
@@ -13,25 +13,25 @@
 from bellweir.hosted.batches.progress import ItemProgress, Stage
 from bellweir.hosted.batches.state import JobState
 from bellweir.hosted.batches.step_ordering import (
-    EnginesRoom,
-    GroupNeed,
+    EnginePool,
+    GroupDemand,
+    GroupStatus,
     MostInTime,
     OrderedGroup,
-    Standing,
-    StepNeed,
-    blocks,
+    StepDemand,
+    number_blocks,
 )
 from bellweir.hosted.log_events import STEP_ORDERED
 from bellweir.hosted.records import Route
 from bellweir.hosted.views.configuration import RouteTable
 
-ORDER_PERIOD_S = 0.1
-LOG_PERIOD_S = 1.0
-UNDUE_S = 3_600.0
-"""Time after which a step counts as due whose route names none."""
-URGENCY = {Standing.LATE: 6, Standing.SURPLUS: 7}
-"""Urgency told to engines, behind the usual 5 of all others: a text whose group can't be in time
-takes no memory from one that can, and nobody's stream is put back for the sake of a step."""
+ORDER_INTERVAL_S = 0.1
+LOG_INTERVAL_S = 1.0
+DEFAULT_DUE_S = 3_600.0
+"""Due time of steps whose route sets none."""
+URGENCY_BY_STATUS = {GroupStatus.LATE: 6, GroupStatus.SURPLUS: 7}
+"""Urgency header by status. All other requests have 5, the more urgent value, so that engines don't
+preempt them for late or surplus groups."""
 
 ItemKey = tuple[str, str]
 
@@ -46,21 +46,21 @@
         self.route = route
 
     @property
-    def engines(self) -> tuple[str, ...]:
-        """Services that it wants engines of."""
+    def services(self) -> tuple[str, ...]:
+        """Services whose engines may run its items."""
         return tuple(sorted(part.service for part in self.route.parts))
 
     @property
     def trainer(self) -> tuple[str, str, str]:
-        """Whose steps compete as one."""
+        """Identifies the trainer; steps of one trainer don't compete with each other."""
         return self.state.job.tenant, self.state.job.host, self.state.job.path_prefix
 
 
 def competing_steps(steps: Iterable[OpenStep]) -> list[tuple[tuple[str, ...], list[OpenStep]]]:
-    """Divide steps into those that share services, directly or through others; in their order."""
+    """Group steps that share services, directly or transitively; each group keeps their order."""
     found: list[tuple[set[str], list[OpenStep]]] = []
     for step in steps:
-        services, group = set(step.engines), [step]
+        services, group = set(step.services), [step]
         for other in [one for one in found if one[0] & services]:
             services |= other[0]
             group = [*other[1], *group]
@@ -70,29 +70,30 @@
 
 
 class StepScheduler:
-    """Called by the coordinator's task only."""
+    """Ranks items of open steps. Not thread-safe: called by the coordinator's task only."""
 
     def __init__(
         self,
         expected_events: Callable[[ItemProgress], float | None],
-        paces_of: Callable[[str], Sequence[tuple[float, int]]],
+        event_times_of: Callable[[str], Sequence[tuple[float, int]]],
         now_s: Callable[[], float] = time.monotonic,
         wall_s: Callable[[], float] = time.time,
     ) -> None:
-        """`paces_of` returns seconds an event and places of each engine of a service.
+        """`event_times_of` returns the time per event and the slots of each engine of a service.
 
-        While `expected_events` tells None, nothing is taken to be late for what it still needs.
+        While `expected_events` returns None, a text counts as one remaining event, so that no
+        group is late because of unknown lengths.
         """
         self._expected_events = expected_events
-        self._paces_of = paces_of
+        self._event_times_of = event_times_of
         self._now_s = now_s
         self._wall_s = wall_s
         self._order = MostInTime()
         self._due_s: dict[str, float] = {}
         self._blocks: dict[tuple[str, str], int] = {}
-        self._standings: dict[tuple[str, str], Standing] = {}
+        self._statuses: dict[tuple[str, str], GroupStatus] = {}
         self._jobs: frozenset[str] = frozenset()
-        self._next_s = float("-inf")
+        self._next_update_s = float("-inf")
         self._logged_s: dict[str, float] = {}
 
     def update(
@@ -102,34 +103,36 @@
         running: Iterable[ItemKey],
         table: RouteTable,
     ) -> None:
-        """Order the groups of the open steps anew, if that is due."""
+        """Recompute the order if steps were added or ended or the interval has passed."""
         now_s = self._now_s()
         jobs = frozenset(step.state.job.id for step in steps)
-        self._note_due(steps, jobs, now_s)
-        if now_s < self._next_s and jobs == self._jobs:
+        self._update_due_times(steps, jobs, now_s)
+        if now_s < self._next_update_s and jobs == self._jobs:
             return
-        self._next_s, self._jobs = now_s + ORDER_PERIOD_S, jobs
-        self._blocks, self._standings = {}, {}
-        priorities = {each.name: each.priority for each in table.configuration.tenants}
-        at_workers = frozenset(running)
+        self._next_update_s, self._jobs = now_s + ORDER_INTERVAL_S, jobs
+        self._blocks, self._statuses = {}, {}
+        priorities = {tenant.name: tenant.priority for tenant in table.configuration.tenants}
+        in_flight = frozenset(running)
         for services, competing in competing_steps(steps):
             if len({step.trainer for step in competing}) > 1:
-                needs = [
-                    self._need(step, progress_of, at_workers, priorities) for step in competing
+                demands = [
+                    self._demand(step, progress_of, in_flight, priorities) for step in competing
                 ]
-                room = self._room(services)
-                self._note_order(needs, self._order.order(needs, room, now_s), room, now_s)
+                pool = self._pool(services)
+                self._apply_order(demands, self._order.order(demands, pool, now_s), pool, now_s)
 
     def rank(self, progress: ItemProgress) -> int:
-        """Place of an item's group in the order; those that are not ordered come first."""
+        """Position of an item's group in the order; -1, which is first, without an order."""
         return self._blocks.get(_group_key(progress), -1)
 
     def urgency(self, progress: ItemProgress) -> int | None:
-        """Urgency to tell an item's engine; None: the usual one."""
-        standing = self._standings.get(_group_key(progress))
-        return URGENCY.get(standing) if standing is not None else None
+        """Urgency to send to an item's engine; None for the default."""
+        status = self._statuses.get(_group_key(progress))
+        return URGENCY_BY_STATUS.get(status) if status is not None else None
 
-    def _note_due(self, steps: Sequence[OpenStep], jobs: frozenset[str], now_s: float) -> None:
+    def _update_due_times(
+        self, steps: Sequence[OpenStep], jobs: frozenset[str], now_s: float
+    ) -> None:
         for job_id in self._due_s.keys() - jobs:
             del self._due_s[job_id]
             self._logged_s.pop(job_id, None)
@@ -137,25 +140,27 @@
             job = step.state.job
             if job.id not in self._due_s:
                 due_ms = step.route.due_ms
-                due_in_s = UNDUE_S if due_ms is None else due_ms / 1000
-                # The clocks of the two nodes may differ: that must not make it due at any time.
+                due_in_s = DEFAULT_DUE_S if due_ms is None else due_ms / 1000
+                # Clamped: clock skew between nodes must not shift the due time without bound.
                 age_s = min(max(0.0, self._wall_s() - job.accepted_at_s), due_in_s)
                 self._due_s[job.id] = now_s + due_in_s - age_s
 
-    def _room(self, services: Iterable[str]) -> EnginesRoom:
-        found = [each for service in services for each in self._paces_of(service)]
-        places = sum(count for _, count in found)
-        speed = sum(count / pace_s for pace_s, count in found if pace_s > 0)
-        return EnginesRoom(places, places / speed if speed else 0.0)
+    def _pool(self, services: Iterable[str]) -> EnginePool:
+        found = [engine for service in services for engine in self._event_times_of(service)]
+        slots = sum(count for _, count in found)
+        events_per_s = sum(
+            count / time_per_event_s for time_per_event_s, count in found if time_per_event_s > 0
+        )
+        return EnginePool(slots, slots / events_per_s if events_per_s else 0.0)
 
-    def _need(
+    def _demand(
         self,
         step: OpenStep,
         progress_of: Mapping[ItemKey, ItemProgress],
         running: frozenset[ItemKey],
         priorities: Mapping[str, int | None],
-    ) -> StepNeed:
-        """What a step still needs of engines; a group whose texts are whole needs nothing."""
+    ) -> StepDemand:
+        """Remaining work of a step; groups whose texts are complete are left out."""
         job = step.state.job
         texts: dict[str, list[tuple[float, bool]]] = defaultdict(list)
         names: set[str] = set()
@@ -164,18 +169,18 @@
             names.add(name)
             key = (job.id, item.id)
             progress = progress_of.get(key)
-            is_made = progress is not None and progress.stage is not Stage.TEXT
-            if item.id in step.state.listed or is_made:
+            is_generated = progress is not None and progress.stage is not Stage.TEXT
+            if item.id in step.state.listed or is_generated:
                 continue
             expected = self._expected_events(progress) if progress is not None else None
-            left = 1.0
+            remaining = 1.0
             if progress is not None and expected is not None:
-                left = max(1.0, expected - progress.events)
-            texts[name].append((left, key in running))
-        groups = [_group_need(name, left) for name, left in texts.items()]
+                remaining = max(1.0, expected - progress.events)
+            texts[name].append((remaining, key in running))
+        groups = [_group_demand(name, remaining) for name, remaining in texts.items()]
         wanted = job.wanted_groups or len(names)
         priority = priorities.get(job.tenant)
-        return StepNeed(
+        return StepDemand(
             job.id,
             self._due_s[job.id],
             groups,
@@ -184,46 +189,46 @@
             job.tenant or step.route.path_prefix,
         )
 
-    def _note_order(
+    def _apply_order(
         self,
-        needs: Sequence[StepNeed],
+        demands: Sequence[StepDemand],
         ordered: Sequence[OrderedGroup],
-        room: EnginesRoom,
+        pool: EnginePool,
         now_s: float,
     ) -> None:
         first = len(self._blocks)
-        for key, number in blocks(ordered).items():
+        for key, number in number_blocks(ordered).items():
             self._blocks[key] = first + number
-        self._standings.update({(one.job, one.group): one.standing for one in ordered})
-        for need in needs:
-            if now_s >= self._logged_s.get(need.job, float("-inf")) + LOG_PERIOD_S:
-                self._logged_s[need.job] = now_s
-                self._log(need, ordered, room, now_s)
+        self._statuses.update({(one.job, one.group): one.status for one in ordered})
+        for demand in demands:
+            if now_s >= self._logged_s.get(demand.job, float("-inf")) + LOG_INTERVAL_S:
+                self._logged_s[demand.job] = now_s
+                self._log(demand, ordered, pool, now_s)
 
     def _log(
         self,
-        need: StepNeed,
+        demand: StepDemand,
         ordered: Sequence[OrderedGroup],
-        room: EnginesRoom,
+        pool: EnginePool,
         now_s: float,
     ) -> None:
-        own = [one for one in ordered if one.job == need.job]
-        late = sum(one.standing is Standing.LATE for one in own)
-        waited_for = [one for one in own if one.standing is not Standing.SURPLUS]
+        own_groups = [one for one in ordered if one.job == demand.job]
+        late = sum(one.status is GroupStatus.LATE for one in own_groups)
+        waited_for = [one for one in own_groups if one.status is not GroupStatus.SURPLUS]
         emit(
             STEP_ORDERED,
-            request_id=need.job,
-            due_ms=round(1000 * (need.due_s - now_s)),
-            wanted_groups=need.wanted,
+            request_id=demand.job,
+            due_ms=round(1000 * (demand.due_s - now_s)),
+            wanted_groups=demand.wanted,
             late_groups=late,
-            surplus_groups=len(own) - len(waited_for),
-            waiting=sum(group.waiting for group in need.groups),
-            running=sum(group.running for group in need.groups),
-            left_events=round(sum(group.work for group in need.groups)),
+            surplus_groups=len(own_groups) - len(waited_for),
+            waiting=sum(group.waiting for group in demand.groups),
+            running=sum(group.running for group in demand.groups),
+            left_events=round(sum(group.remaining_events for group in demand.groups)),
             slack_ms=round(1000 * min((one.slack_s for one in waited_for), default=0.0)),
-            priority=need.priority,
-            places=room.places,
-            pace_ms=round(1000 * room.pace_s),
+            priority=demand.priority,
+            places=pool.slots,
+            pace_ms=round(1000 * pool.time_per_event_s),
             steps=len({one.job for one in ordered}),
         )
 
@@ -232,12 +237,12 @@
     return progress.job.id, progress.item.group or progress.item.id
 
 
-def _group_need(name: str, texts: Sequence[tuple[float, bool]]) -> GroupNeed:
+def _group_demand(name: str, texts: Sequence[tuple[float, bool]]) -> GroupDemand:
     running = sum(is_running for _, is_running in texts)
-    return GroupNeed(
+    return GroupDemand(
         name,
-        sum(left for left, _ in texts),
-        max(left for left, _ in texts),
+        sum(remaining for remaining, _ in texts),
+        max(remaining for remaining, _ in texts),
         len(texts) - running,
         running,
     )
--- a/src/bellweir/hosted/batches/text_compression.py
+++ b/src/bellweir/hosted/batches/text_compression.py
@@ -1,10 +1,9 @@
-"""Packs texts once where they are made; they are unpacked where a client reads them.
+"""Compresses texts where they are generated; they are decompressed where a client reads them.
 
-A text crosses zones several times and stays in the log, in snapshots and in the memory of each
-replica and gateway, so every byte of it is paid for many times over.
+Texts are sent across zones and kept in the log, in snapshots and in the memory of each replica.
 
->>> packed = compress_text("a text, a text, a text")
->>> decompress_text(packed)
+>>> compressed = compress_text("a text, a text, a text")
+>>> decompress_text(compressed)
 'a text, a text, a text'
 >>> len(compress_text("la " * 1_000)) < 100
 True
@@ -12,23 +11,22 @@
 
 import zlib
 
-SHORTEST_BYTES = 64
-"""Shorter texts stay as they are: packing them saves nothing."""
-PLAIN = b"="
-PACKED = b"z"
+MIN_COMPRESSED_BYTES = 64
+UNCOMPRESSED_MARK = b"="
+COMPRESSED_MARK = b"z"
 
 
 def compress_text(text: str) -> bytes:
-    """Return the bytes that stand for a text, with a mark of how."""
+    """Return a text as bytes; the first byte tells whether they are compressed."""
     plain = text.encode("utf-8", "surrogateescape")
-    if len(plain) >= SHORTEST_BYTES:
-        packed = zlib.compress(plain)
-        if len(packed) < len(plain):
-            return PACKED + packed
-    return PLAIN + plain
+    if len(plain) >= MIN_COMPRESSED_BYTES:
+        compressed = zlib.compress(plain)
+        if len(compressed) < len(plain):
+            return COMPRESSED_MARK + compressed
+    return UNCOMPRESSED_MARK + plain
 
 
-def decompress_text(packed: bytes) -> str:
-    """Return the text; empty for no bytes."""
-    plain = zlib.decompress(packed[1:]) if packed[:1] == PACKED else packed[1:]
+def decompress_text(compressed: bytes) -> str:
+    """Return the text; the empty string for no bytes."""
+    plain = zlib.decompress(compressed[1:]) if compressed[:1] == COMPRESSED_MARK else compressed[1:]
     return plain.decode("utf-8", "surrogateescape")
--- a/src/bellweir/hosted/batches/worker_selection.py
+++ b/src/bellweir/hosted/batches/worker_selection.py
@@ -1,9 +1,9 @@
-"""Chooses the worker for an item's next attempt, among those that may run it and have room."""
+"""Selects the worker for an item's next attempt, by eligibility, free slots and speed."""
 
 from collections.abc import Callable, Collection, Sequence
 
 from bellweir.hosted.batches.attempts import ItemAttempts
-from bellweir.hosted.batches.engine_forecast import EngineOutlook
+from bellweir.hosted.batches.engine_forecast import EngineForecast
 from bellweir.hosted.batches.progress import ItemProgress, Stage
 from bellweir.hosted.batches.run_mover import Run
 from bellweir.hosted.incarnation import Incarnation
@@ -15,7 +15,7 @@
 
 
 class WorkerSelector:
-    """Called by the coordinator's task; attempts ask it for the fellows of a worker."""
+    """Selects workers. Called by the coordinator's task; attempts read the workers of a service."""
 
     def __init__(
         self,
@@ -29,16 +29,16 @@
         self._attempts = attempts
         self._policy = policy
         self._parts = WeightedParts()
-        self._outlook = EngineOutlook(attempts, policy)
+        self._forecast = EngineForecast(attempts, policy)
         if policy.set_failing_aside:
-            attempts.fellows_of = lambda worker: self._fellows(worker.entry.service)
+            attempts.fellows_of = lambda worker: self._service_workers(worker.entry.service)
 
-    def begin_round(self, running: Sequence[Run], table: RouteTable) -> None:
-        """Begin a look at what waits; `running` is what is in hand now."""
-        self._outlook.begin(running, table)
+    def begin_round(self, in_flight: Sequence[Run], table: RouteTable) -> None:
+        """Begin a scheduling round; `in_flight` are the runs at its start."""
+        self._forecast.begin(in_flight, table)
 
     def event_times_of(self, service: str) -> list[tuple[float, int]]:
-        """Seconds an event and places of each engine of a service."""
+        """Time per event and slots of each engine of a service."""
         return [
             (self._attempts.paces.of(worker.incarnation), worker.entry.slots)
             for worker in self._workers.ready(service)
@@ -46,33 +46,33 @@
 
     @property
     def is_held(self) -> bool:
-        """Whether the item that got no worker waits for a better one, though others have room."""
-        return self._outlook.is_held
+        """Whether the last item without a worker is held for a better one despite free slots."""
+        return self._forecast.is_held
 
     def acquire_worker(self, progress: ItemProgress, table: RouteTable) -> Worker | None:
-        """Take a place at a worker with room; None when there is none now, or none good enough."""
-        self._outlook.is_held = False
+        """Take a slot of a worker; None if no slot is free or the item is held for a better one."""
+        self._forecast.is_held = False
         if progress.stage is Stage.SCORE:
             route = score_route(progress, table)
             return self._choose(route, progress, table) if route is not None else None
         return self._choose(progress.route, progress, table)
 
     def move_targets(self, progress: ItemProgress, service: str) -> list[tuple[Worker, int]]:
-        """Workers of a service that an item's run could be moved to, with their free places."""
-        failing = self._attempts.failing.failing_workers(self._fellows(service))
+        """Workers of a service that an item's run could be moved to, with their free slots."""
+        failing = self._attempts.failing.failing_workers(self._service_workers(service))
         return [
             (worker, worker.entry.slots - self._loads.in_hand(worker.incarnation))
-            for worker in self._fitting(service, progress)
-            if worker.incarnation not in failing and self._has_room(worker, progress)
+            for worker in self._eligible(service, progress)
+            if worker.incarnation not in failing and self._can_accept(worker, progress)
         ]
 
     def has_own_constraints(self, progress: ItemProgress) -> bool:
-        """Whether an item may lack a worker that other items of its job would get."""
-        is_pinned = progress.route.single_version and bool(progress.versions)
-        return bool(progress.failed_at_now) or is_pinned or self._policy.count_memory
+        """Whether other items of the job may get a worker although this one gets none."""
+        is_version_pinned = progress.route.single_version and bool(progress.versions)
+        return bool(progress.failed_at_now) or is_version_pinned or self._policy.count_memory
 
     def restart_if_version_gone(self, progress: ItemProgress) -> None:
-        """Begin a text anew that must be of one version, if no worker has that any more."""
+        """Restart a text that must be of a single version if no worker has it any more."""
         route, model = progress.route, progress.job.model
         if progress.stage is not Stage.TEXT or not route.single_version or not progress.versions:
             return
@@ -87,75 +87,79 @@
             progress.restart()
 
     def _choose(self, route: Route, progress: ItemProgress, table: RouteTable) -> Worker | None:
-        """Take a place at a worker of the route's services, each of which gets its share.
+        """Take a slot in one of the route's services, in proportion to their weights.
 
-        The service whose turn it is keeps it while its workers are only busy; one without a
-        worker that could take the request loses it to the next.
+        A service keeps its turn while its eligible workers are busy; without an eligible worker
+        the turn passes to the next service.
         """
-        moved = self._moved_target(route, progress)
+        moved = self._acquire_move_target(route, progress)
         if moved is not None:
             return moved
         parts = tuple((part.service, part.weight) for part in route.parts)
         key = (table.version, route.host, route.path_prefix)
-        by_pace = progress.stage is Stage.TEXT and self._policy.choose_by_pace
-        pace_of = self._attempts.paces.of if by_pace else None
+        by_event_time = progress.stage is Stage.TEXT and self._policy.choose_by_pace
+        time_per_event_of = self._attempts.paces.of if by_event_time else None
         for service in self._parts.peek(parts, key):
-            fitting = self._fitting(service, progress)
-            with_room = [worker for worker in fitting if self._has_room(worker, progress)]
-            chosen = self._best(with_room, fitting, progress, pace_of)
+            eligible = self._eligible(service, progress)
+            available = [worker for worker in eligible if self._can_accept(worker, progress)]
+            chosen = self._acquire_best(available, eligible, progress, time_per_event_of)
             if chosen is not None:
-                self._note_begun(chosen, progress)
+                self._record_start(chosen, progress)
                 self._parts.charge(parts, key, service)
                 return chosen
-            if fitting:
+            if eligible:
                 return None
         return None
 
-    def _best(
+    def _acquire_best(
         self,
-        with_room: list[Worker],
-        fitting: list[Worker],
+        available: list[Worker],
+        eligible: list[Worker],
         progress: ItemProgress,
-        pace_of: Callable[[Incarnation], float] | None,
+        time_per_event_of: Callable[[Incarnation], float] | None,
     ) -> Worker | None:
-        """Take a place at the best worker; None also where the item had better wait for one."""
-        outlook = self._outlook
-        if progress.stage is Stage.SCORE or not with_room or not outlook.is_uneven(fitting):
-            return self._loads.choose(with_room, (), pace_of)
-        full = [one for one in fitting if self._loads.in_hand(one.incarnation) >= one.entry.slots]
-        chosen = outlook.choose(with_room, full, progress)
+        """Take a slot of the best worker; None also if the item is held for a busy one."""
+        forecast = self._forecast
+        if (
+            progress.stage is Stage.SCORE
+            or not available
+            or not forecast.has_uneven_speeds(eligible)
+        ):
+            return self._loads.choose(available, (), time_per_event_of)
+        busy = [one for one in eligible if self._loads.in_hand(one.incarnation) >= one.entry.slots]
+        chosen = forecast.choose(available, busy, progress)
         if chosen is not None:
             self._loads.take(chosen)
         return chosen
 
-    def _moved_target(self, route: Route, progress: ItemProgress) -> Worker | None:
-        """Take the place that a moved run was promised; its service has been charged for it."""
+    def _acquire_move_target(self, route: Route, progress: ItemProgress) -> Worker | None:
+        """Take a slot of the worker that a run was moved to; its service is charged already."""
         if progress.stage is not Stage.TEXT or not progress.moved_to:
             return None
         for part in route.parts:
-            for worker in self._fitting(part.service, progress):
+            for worker in self._eligible(part.service, progress):
                 is_target = worker.incarnation == progress.moved_to
-                if is_target and self._has_room(worker, progress):
+                if is_target and self._can_accept(worker, progress):
                     self._loads.take(worker)
-                    self._note_begun(worker, progress)
+                    self._record_start(worker, progress)
                     return worker
         return None
 
-    def _note_begun(self, worker: Worker, progress: ItemProgress) -> None:
+    def _record_start(self, worker: Worker, progress: ItemProgress) -> None:
         if progress.stage is Stage.TEXT:
-            self._attempts.refusals.started(worker.incarnation, progress.job.model)
-            self._outlook.begun(worker, progress)
-        self._attempts.failing.started(worker.incarnation, progress.item.id)
+            self._attempts.refusals.record_start(worker.incarnation, progress.job.model)
+            self._forecast.record_start(worker, progress)
+        self._attempts.failing.record_start(worker.incarnation, progress.item.id)
 
-    def _fitting(self, service: str, progress: ItemProgress) -> list[Worker]:
-        """Workers of a service that may run an item now, whether they have room or not.
+    def _eligible(self, service: str, progress: ItemProgress) -> list[Worker]:
+        """Workers of a service that may run an item now, with or without a free slot.
 
-        An item that failed goes to a worker that has not failed it, as long as there is one.
+        A failed item goes to a worker that has not failed it, as long as there is one.
         """
         found = [
             worker
             for worker in self._workers.ready(service)
-            if _fits(worker, progress) and not self._is_passed_over(worker)
+            if _is_compatible(worker, progress) and not self._is_excluded(worker)
         ]
         if self._policy.set_failing_aside:
             found = self._without_failing(found, service, progress)
@@ -165,34 +169,35 @@
         self, workers: list[Worker], service: str, progress: ItemProgress
     ) -> list[Worker]:
         failed_at = progress.failed_at_now
-        fellows = self._fellows(service)
-        # An item that was failed often is none to try a failing worker by.
-        is_trial = len(failed_at) < progress.route.max_attempts
+        service_workers = self._service_workers(service)
+        # An item that failed often is no evidence about a worker, so it probes none.
+        allows_probe = len(failed_at) < progress.route.max_attempts
         failing = self._attempts.failing
-        alone = failing.left_alone(fellows)
+        quarantined = failing.quarantined(service_workers)
         kept = [
             worker
             for worker in workers
-            if worker.incarnation not in alone or (is_trial and failing.may_try(worker.incarnation))
+            if worker.incarnation not in quarantined
+            or (allows_probe and failing.may_probe(worker.incarnation))
         ]
-        # With no other worker the item itself must find out when one is well again.
-        kept = kept or [one for one in workers if failing.may_try(one.incarnation)]
+        # With only quarantined workers left any item may probe them.
+        kept = kept or [one for one in workers if failing.may_probe(one.incarnation)]
         return [worker for worker in kept if worker.incarnation not in failed_at] or kept
 
-    def _fellows(self, service: str) -> Collection[Incarnation]:
+    def _service_workers(self, service: str) -> Collection[Incarnation]:
         return [worker.incarnation for worker in self._workers.ready(service)]
 
-    def _is_passed_over(self, worker: Worker) -> bool:
+    def _is_excluded(self, worker: Worker) -> bool:
         return self._policy.pass_over_failed and self._loads.is_avoided(worker.incarnation)
 
-    def _has_room(self, worker: Worker, progress: ItemProgress) -> bool:
+    def _can_accept(self, worker: Worker, progress: ItemProgress) -> bool:
         if progress.stage is Stage.TEXT:
             model = progress.job.model
             refusals = self._attempts.refusals
             is_guarded = self._policy.guard_refusals
             if is_guarded and not refusals.may_start(worker.incarnation, model):
                 return False
-            if not self._outlook.has_memory(worker, progress):
+            if not self._forecast.has_memory(worker, progress):
                 return False
         return self._loads.in_hand(worker.incarnation) < worker.entry.slots
 
@@ -203,7 +208,7 @@
     return table.find(scorer.host, scorer.path) if scorer is not None else None
 
 
-def _fits(worker: Worker, progress: ItemProgress) -> bool:
+def _is_compatible(worker: Worker, progress: ItemProgress) -> bool:
     if progress.stage is not Stage.TEXT or not progress.job.model:
         return True
     version = worker.version_of(progress.job.model)
