--- a/features/steps/hosted_clocks_steps.py
+++ b/features/steps/hosted_clocks_steps.py
@@ -1,4 +1,4 @@
-"""Clocks that differ or jump: what is kept, and for how long."""
+"""Retention of jobs when clocks differ or jump."""
 
 import time
 from unittest.mock import patch
@@ -15,7 +15,7 @@
 from bellweir.hosted.batches.retention import COUNT_PERIOD_S, LOOK_PERIOD_S
 from bellweir.hosted.batches.state import AcceptJob, BatchJobs, EndJob, ForgetJobs, ReadResults
 
-LOOK_TIMEOUT_S = 15.0
+CHECK_TIMEOUT_S = 15.0
 
 
 @given_step("a job that a gateway accepted and ended")
@@ -27,40 +27,42 @@
     context.leader.ledger.submit("", EndJob("job", gateway_s), 1.0)
 
 
-@when("the leader, whose time of day is {ahead:d} s ahead, has looked for jobs that are old")
+@when("the leader, whose wall clock is {ahead:d} s ahead, has checked for expired jobs")
 def when_ahead(context, ahead):
-    ledger, true_time, forgotten = context.leader.ledger, time.time, []
+    ledger, real_time, forgotten = context.leader.ledger, time.time, []
     submit = ledger.submit
 
-    def noting(key, command, timeout_s):
+    def recording_submit(key, command, timeout_s):
         reply = submit(key, command, timeout_s)
         if isinstance(command, ForgetJobs):
             forgotten.append(command)
         return reply
 
-    ledger.submit = noting
-    context.cleanup.enter_context(patch("time.time", lambda: true_time() + ahead))
-    context.wait_until(lambda: forgotten, "a look for old jobs", LOOK_TIMEOUT_S)
+    ledger.submit = recording_submit
+    context.cleanup.enter_context(patch("time.time", lambda: real_time() + ahead))
+    context.wait_until(lambda: forgotten, "a check for expired jobs", CHECK_TIMEOUT_S)
 
 
-@then("the job is read again")
+@then("the results of the job can still be read")
 def then_read(context):
     page = context.leader.ledger.machine.answer(ReadResults("job", 0, 1 << 20))
-    assert page.total == 2, "a job that is owed is gone"
+    assert page.total == 2, "a job was forgotten before its time"
 
 
-TIMES_OF_DAY_S = (-1e9, 0.0, 1e9, 1e12)
-STEADY_S = STATUS_S + 2 * (COUNT_PERIOD_S + LOOK_PERIOD_S)
-"""Longest time for which an ended job is kept where commits take no time and the leader stays."""
-LATEST_S = STATUS_S * (1 + LOOK_PERIOD_S / COUNT_PERIOD_S) + 2 * (COUNT_PERIOD_S + LOOK_PERIOD_S)
-"""The same where each count is another leader's."""
+WALL_CLOCKS_S = (-1e9, 0.0, 1e9, 1e12)
+MAX_STEADY_RETENTION_S = STATUS_S + 2 * (COUNT_PERIOD_S + LOOK_PERIOD_S)
+"""Upper bound of the retention time with instant commits and a stable leader."""
+MAX_RETENTION_S = STATUS_S * (1 + LOOK_PERIOD_S / COUNT_PERIOD_S) + 2 * (
+    COUNT_PERIOD_S + LOOK_PERIOD_S
+)
+"""Upper bound if the leader changes at each count."""
 
 
 @then("no ended job is forgotten before its time, in any order of events")
 def then_not_early(context):
     replica, seldom = st.integers(0, 2), st.sampled_from((False, False, True))
     event = st.one_of(
-        st.tuples(st.just("end"), st.sampled_from(TIMES_OF_DAY_S)),
+        st.tuples(st.just("end"), st.sampled_from(WALL_CLOCKS_S)),
         st.tuples(st.just("pass"), st.floats(0, 20)),
         st.tuples(st.just("look"), replica),
         st.tuples(st.just("go on"), st.integers(1, 20)),
@@ -85,7 +87,7 @@
         forgotten.append(len(shard.ended_s.keys() - shard.leader.machine.jobs.keys()))
 
     not_early()
-    assert sum(forgotten) > 100, f"{sum(forgotten)} jobs forgotten: too few to try anything"
+    assert sum(forgotten) > 100, f"{sum(forgotten)} jobs forgotten: too few for this test"
 
 
 def play_event(shard, what, value):
@@ -115,29 +117,29 @@
         case "delay":
             shard.delays = value
         case "arrive" if shard.late:
-            # A command may be applied long after it was sent, and more than once.
+            # A command may be applied late and more than once.
             shard.append(shard.late[0] if value else shard.late.pop())
 
 
-@then("every ended job is forgotten soon after its time, though the leader changes at each look")
+@then("every ended job is forgotten soon after its time, even if the leader changes at each check")
 def then_soon(context):
-    for looks_led in (1, 2, 5, 1_000):
+    for checks_led in (1, 2, 5, 1_000):
         shard = Shard()
         for number in range(200):
             shard.now_s += LOOK_PERIOD_S
             if number % 7 == 0:
-                shard.end_job(TIMES_OF_DAY_S[number % len(TIMES_OF_DAY_S)])
-            shard.leader = shard.replicas[number // looks_led % 3]
+                shard.end_job(WALL_CLOCKS_S[number % len(WALL_CLOCKS_S)])
+            shard.leader = shard.replicas[number // checks_led % 3]
             shard.leader.catch_up()
             shard.look()
             shard.check_kept()
             for job_id in shard.leader.machine.jobs:
-                latest_s = STEADY_S if looks_led == 1_000 else LATEST_S
-                assert shard.age_s(job_id) <= latest_s, (looks_led, shard.age_s(job_id))
+                latest_s = MAX_STEADY_RETENTION_S if checks_led == 1_000 else MAX_RETENTION_S
+                assert shard.age_s(job_id) <= latest_s, (checks_led, shard.age_s(job_id))
 
 
-@when("a leader is frozen in a look while another one counts, and goes on when it has caught up")
-def when_frozen_in_look(context):
+@when("a leader is paused during a check while another one counts, and resumes after it caught up")
+def when_paused_in_check(context):
     context.shard = shard = Shard()
     first, second = shard.replicas[:2]
     shard.end_job(0.0)
@@ -145,7 +147,7 @@
     shard.look()
     leads = first.leads
 
-    def frozen(key):
+    def pausing_leads(key):
         is_leading = leads(key)
         shard.leader = second
         while shard.age_s("job-0") < STATUS_S - COUNT_PERIOD_S:
@@ -155,39 +157,41 @@
         first.catch_up()
         return is_leading
 
-    with patch.object(first, "leads", frozen):
+    with patch.object(first, "leads", pausing_leads):
         shard.now_s += COUNT_PERIOD_S
         first.retention.look()
 
 
-@then("the job that ended before is kept for its whole time")
-def then_whole_time(context):
+@then("the job that ended before is kept for its full retention time")
+def then_full_time(context):
     context.shard.check_kept()
 
 
-@then("jobs that end all the time take no more room than those of the time for which they are owed")
-def then_room(context):
+@then("the memory of jobs that end continuously is bounded by the retention time")
+def then_bounded(context):
     shard, largest = Shard(1), 0
     for _ in range(2_000):
         shard.now_s += LOOK_PERIOD_S
         shard.end_job(0.0)
         shard.look()
         machine = shard.leader.machine
-        assert machine.kept.since_ms.keys() <= machine.jobs.keys(), "a forgotten job is noted"
+        assert machine.kept.since_ms.keys() <= machine.jobs.keys(), (
+            "a forgotten job is still counted"
+        )
         largest = max(largest, len(machine.jobs))
-    assert largest <= STEADY_S / LOOK_PERIOD_S + 1, largest
-    noted = len(msgspec.json.encode(machine.kept))
-    assert noted <= 64 * (len(machine.jobs) + 1), noted
+    assert largest <= MAX_STEADY_RETENTION_S / LOOK_PERIOD_S + 1, largest
+    encoded_bytes = len(msgspec.json.encode(machine.kept))
+    assert encoded_bytes <= 64 * (len(machine.jobs) + 1), encoded_bytes
 
 
 def saved_without_counts(machine):
-    """A snapshot as a release wrote it that counts nothing."""
+    """A snapshot of a release without retention counts."""
     plain = cbor2.loads(machine.save())
     del plain["kept"]
     return cbor2.dumps(plain)
 
 
-@then("their ended jobs are kept for their whole time, and forgotten after it")
+@then("their ended jobs are kept for their full retention time and forgotten after it")
 def then_old_snapshot(context):
     shard = Shard()
     shard.end_job(1.0)
@@ -205,30 +209,30 @@
         shard.now_s += LOOK_PERIOD_S
         shard.look()
         shard.check_kept()
-        assert shard.now_s - began_s <= LATEST_S
+        assert shard.now_s - began_s <= MAX_RETENTION_S
 
 
-@then("a replica that lacks counts keeps its jobs for longer, and counts on with the others")
-def then_lacking(context):
+@then("a replica that lacks counts keeps its jobs for longer and counts along with the others")
+def then_uncounted(context):
     shard = Shard()
-    whole, lacking, _ = shard.replicas
+    counted, uncounted, _ = shard.replicas
     shard.end_job(1.0)
-    go_on(shard, 20.0)
-    lacking.machine.load(saved_without_counts(lacking.machine))
-    shard.leader = lacking
+    advance(shard, 20.0)
+    uncounted.machine.load(saved_without_counts(uncounted.machine))
+    shard.leader = uncounted
     shard.end_job(1.0)
-    go_on(shard, 5.0)
-    assert 0 < lacking.machine.kept.counted_ms < whole.machine.kept.counted_ms
-    shard.leader = whole
-    go_on(shard, 5.0)
-    assert lacking.machine.kept.counted_ms == whole.machine.kept.counted_ms
-    shard.leader = lacking
-    go_on(shard, STATUS_S + LATEST_S)
+    advance(shard, 5.0)
+    assert 0 < uncounted.machine.kept.counted_ms < counted.machine.kept.counted_ms
+    shard.leader = counted
+    advance(shard, 5.0)
+    assert uncounted.machine.kept.counted_ms == counted.machine.kept.counted_ms
+    shard.leader = uncounted
+    advance(shard, STATUS_S + MAX_RETENTION_S)
     assert not any(each.machine.jobs for each in shard.replicas)
 
 
-def go_on(shard, seconds):
-    """Let time pass in which all machines look, and no job that is owed goes."""
+def advance(shard, seconds):
+    """Advance the clock; all replicas check, and no job is forgotten before its time."""
     until_s = shard.now_s + seconds
     while shard.now_s < until_s:
         shard.now_s += LOOK_PERIOD_S
--- a/features/support/steps_oracle.py
+++ b/features/support/steps_oracle.py
@@ -1,7 +1,7 @@
-"""The steps' state machine against a simple oracle, with late, repeated and reordered commands.
+"""Tests the state machine of steps against an oracle, with late, repeated and reordered commands.
 
-Commands wait in a bag. A rule takes any of them, any number of times, in any order: that is a
-lost answer tried again, a late answer, a paused node going on, or two nodes at once.
+Pending commands are delivered any number of times in any order, as with lost replies and retries,
+delayed messages, paused nodes and concurrent nodes.
 """
 
 from dataclasses import dataclass
@@ -46,9 +46,9 @@
         self.machine = StepMachine()
         self.now_s = 100.0
         self.published = {1: 0.0}
-        self.told_now_s = 0.0
-        self.told = {}
-        self.bag = []
+        self.observed_now_s = 0.0
+        self.observed = {}
+        self.pending = []
         self.scores = []
         self.attempts = 0
         self.held: dict[int, OracleSample] = {}
@@ -56,7 +56,7 @@
         self.delivered: list[tuple[int, str, tuple[int, ...], float | None]] = []
         self.batch_ends: list[int] = []
         self.trainer_cursor = 0
-        self.trainer_has: list = []
+        self.received: list = []
         self.acknowledged = 0
 
     @initialize(
@@ -84,7 +84,7 @@
         reply = self.send(DeclareStep(terms, self.observation()))
         assert reply.outcome is Outcome.DONE
 
-    # --- the world ---
+    # --- clock, weight versions and transport ---
 
     def observation(self):
         known = tuple(Publication(v, at) for v, at in sorted(self.published.items()))
@@ -109,27 +109,27 @@
         self.machine.load(saved)
         assert self.machine.save() == saved
 
-    # --- the oracle's own idea of freshness ---
+    # --- freshness as the oracle computes it ---
 
-    def hear(self, observation):
-        self.told_now_s = max(self.told_now_s, observation.now_s)
+    def observe(self, observation):
+        self.observed_now_s = max(self.observed_now_s, observation.now_s)
         for publication in observation.publications:
-            told_s, seen_s = self.told.get(publication.version, 0.0), publication.seen_at_s
-            known = [at for at in (told_s, seen_s) if at > 0.0]
-            self.told[publication.version] = min(known, default=0.0)
+            observed_s, seen_s = self.observed.get(publication.version, 0.0), publication.seen_at_s
+            known = [at for at in (observed_s, seen_s) if at > 0.0]
+            self.observed[publication.version] = min(known, default=0.0)
         for slot in [s for s in self.held if s not in self.delivered_slots()]:
-            if not self.fresh(self.held[slot].versions):
+            if not self.is_fresh(self.held[slot].versions):
                 del self.held[slot]
                 self.order.remove(slot)
 
-    def fresh(self, versions):
+    def is_fresh(self, versions):
         oldest = min(versions)
-        newer = [at for version, at in self.told.items() if version > oldest]
+        newer = [at for version, at in self.observed.items() if version > oldest]
         if self.minimum is not None and oldest < self.minimum:
             return False
-        if self.versions is not None and max(self.told) - oldest > self.versions:
+        if self.versions is not None and max(self.observed) - oldest > self.versions:
             return False
-        too_long = newer and self.told_now_s - min(newer) > (self.seconds or 0)
+        too_long = newer and self.observed_now_s - min(newer) > (self.seconds or 0)
         return not (self.seconds is not None and too_long)
 
     def delivered_slots(self):
@@ -148,10 +148,10 @@
         has_restarted=st.sampled_from([False, False, True]),
     )
     def generate(self, slot, ages, is_late, clock_error_s, has_restarted):
-        """A node finishes an attempt and commits it, now or later, with what it now knows.
+        """A node finishes an attempt and commits it now or later, with its current observation.
 
-        The node's clock may be behind, it may have seen the newest version late, or it has just
-        started and knows of no version when it was published.
+        Its clock may be behind, it may have observed the newest version late, or it has just
+        started and knows no publication times.
         """
         newest = max(self.published)
         versions = sorted(max(1, newest - age) for age in ages)
@@ -162,22 +162,22 @@
             tuple(Publication(p.version, p.seen_at_s + clock_error_s) for p in known.publications),
         )
         segments = tuple(Segment(version, n * 2, 2) for n, version in enumerate(versions))
-        self.bag.append(
+        self.pending.append(
             CommitSample(
                 STEP, slot, f"a{self.attempts}", BulkValue(b"x"), segments, None, observation
             )
         )
         if not is_late:
-            self.deliver(self.bag[-1])
+            self.deliver(self.pending[-1])
 
-    @precondition(lambda self: self.bag)
+    @precondition(lambda self: self.pending)
     @rule(data=st.data())
     def commit_arrives(self, data):
-        self.deliver(data.draw(st.sampled_from(self.bag)))
+        self.deliver(data.draw(st.sampled_from(self.pending)))
 
     def deliver(self, command):
         reply = self.send(command)
-        self.hear(command.observation)
+        self.observe(command.observation)
         versions = tuple(segment.weight_version for segment in command.segments)
         held = self.held.get(command.slot)
         if held is not None and held.attempt == command.attempt_id:
@@ -188,17 +188,17 @@
             assert reply.outcome is Outcome.DUPLICATE
         elif self.minimum is not None and min(versions) < self.minimum:
             assert reply.outcome is Outcome.TOO_OLD
-        elif not self.fresh(versions):
+        elif not self.is_fresh(versions):
             assert reply.outcome is Outcome.STALE
         else:
             assert reply.outcome is Outcome.DONE
             self.held[command.slot] = OracleSample(command.attempt_id, versions, None)
             self.order.append(command.slot)
 
-    @precondition(lambda self: self.bag and self.scorer)
+    @precondition(lambda self: self.pending and self.scorer)
     @rule(data=st.data(), score=st.floats(0, 1))
     def score_arrives(self, data, score):
-        command = data.draw(st.sampled_from(self.bag))
+        command = data.draw(st.sampled_from(self.pending))
         self.send(AttachScore(STEP, command.slot, command.attempt_id, score))
         held = self.held.get(command.slot)
         is_first = held is not None and held.attempt == command.attempt_id and held.score is None
@@ -208,17 +208,17 @@
     @rule()
     def coordinator_observes(self):
         self.send(ObserveStep(STEP, self.observation()))
-        self.hear(self.observation())
+        self.observe(self.observation())
 
     # --- the trainer ---
 
     @rule(limit=st.integers(1, 3), behind=st.integers(0, 3), is_lost=st.booleans())
     def pull(self, limit, behind, is_lost):
-        """Pull at the trainer's cursor, or again behind it; the answer may be lost."""
+        """Pull at the trainer's cursor or before it; the reply may be lost."""
         cursor = max(0, self.trainer_cursor - behind)
         command = HandOver(STEP, cursor, limit, self.observation())
         self.send(command)
-        self.hear(command.observation)
+        self.observe(command.observation)
         if cursor == len(self.delivered):
             ready = [
                 slot
@@ -228,21 +228,21 @@
             ]
             for slot in ready[:limit]:
                 held = self.held[slot]
-                assert self.fresh(held.versions), "handed over outside the bound"
+                assert self.is_fresh(held.versions), "a stale sample was delivered"
                 self.delivered.append((slot, held.attempt, held.versions, held.score))
             if ready:
                 self.batch_ends.append(len(self.delivered))
-        whole = [end for end in self.batch_ends if end > cursor]
+        ends = [end for end in self.batch_ends if end > cursor]
         reply = over_the_wire(self.machine.answer(ReadSamples(STEP, cursor, limit)))
         got = [
             (s.slot, tuple(g.weight_version for g in s.segments), s.score) for s in reply.samples
         ]
         expected = [(s, v, score) for s, _, v, score in self.delivered[cursor : reply.cursor]]
         assert got == expected
-        expected_end = min(whole[0], cursor + limit) if whole else cursor
-        assert reply.cursor == expected_end, "a repeated pull gave another batch"
+        expected_end = min(ends[0], cursor + limit) if ends else cursor
+        assert reply.cursor == expected_end, "a repeated pull returned another batch"
         if not is_lost:
-            self.trainer_has[cursor : reply.cursor] = got
+            self.received[cursor : reply.cursor] = got
             self.trainer_cursor = max(self.trainer_cursor, reply.cursor)
 
     @rule(behind=st.integers(0, 2))
@@ -252,7 +252,7 @@
         assert reply.outcome is Outcome.DONE
         self.acknowledged = max(self.acknowledged, cursor)
 
-    # --- what must always hold ---
+    # --- invariants ---
 
     @invariant()
     def status_agrees(self):
@@ -265,15 +265,13 @@
         assert (status.state is StepState.RUNNING) == self.is_running()
 
     @invariant()
-    def each_slot_once(self):
-        slots = [slot for slot, *_ in self.trainer_has]
+    def no_duplicate_slots(self):
+        slots = [slot for slot, *_ in self.received]
         assert len(slots) == len(set(slots))
-        assert [(s, v, score) for s, _, v, score in self.delivered][
-            : len(slots)
-        ] == self.trainer_has
+        assert [(s, v, score) for s, _, v, score in self.delivered][: len(slots)] == self.received
 
     def teardown(self):
-        """Whatever happened, the step can be filled, and the trainer gets each slot once."""
+        """After any history the step can be filled, and the trainer gets each slot once."""
         if not hasattr(self, "minimum"):
             return
         while max(self.published) < (self.minimum or 1):
@@ -287,9 +285,9 @@
                 command = CommitSample(
                     STEP, slot, attempt, BulkValue(b"x"), segments, 1.0, self.observation()
                 )
-                self.bag = [command]
+                self.pending = [command]
                 self.send(command)
-                self.hear(command.observation)
+                self.observe(command.observation)
                 if slot not in self.held:
                     self.held[slot] = OracleSample(attempt, (newest,), 1.0)
                     self.order.append(slot)
@@ -298,15 +296,15 @@
                     self.send(AttachScore(STEP, slot, held.attempt, 1.0))
                     held.score = 1.0
             self.trainer_cursor = len(self.delivered)
-            self.trainer_has = [(s, v, score) for s, _, v, score in self.delivered]
+            self.received = [(s, v, score) for s, _, v, score in self.delivered]
             self.pull(1 + self.attempts % 2, 0, False)
         while self.trainer_cursor < SLOTS:
-            # The last answer may have been lost: the trainer pulls again.
+            # The last reply may have been lost: the trainer pulls again.
             self.pull(SLOTS, 0, False)
         for behind in range(SLOTS + 1):
             self.pull(SLOTS, behind, True)
         for behind in (1, 0, 2):
             self.acknowledge(behind)
             self.status_agrees()
-        self.each_slot_once()
-        assert {slot for slot, *_ in self.trainer_has} == set(range(SLOTS))
+        self.no_duplicate_slots()
+        assert {slot for slot, *_ in self.received} == set(range(SLOTS))
--- a/src/bellweir/hosted/batches/length_prediction.py
+++ b/src/bellweir/hosted/batches/length_prediction.py
@@ -1,8 +1,7 @@
 """Predicts how many events an item's text will have.
 
-From three sources, the best first: events of an earlier run of the same item, the caller's estimate
-in tokens, and the mean of completed texts. The ratio of estimated tokens to events is learned from
-completed texts.
+Sources, the best first: events of an earlier run of the item, the caller's estimate in tokens
+(converted by a ratio learned from completed texts), and the mean of completed texts.
 
 >>> lengths = LengthPredictor()
 >>> lengths.record_completed("a", 100, 20)
--- a/src/bellweir/hosted/batches/placement.py
+++ b/src/bellweir/hosted/batches/placement.py
@@ -1,9 +1,6 @@
 """Places waiting texts on the engines where they are predicted to end first.
 
-With engines of uneven speed and most slots taken, the free slot is often on a slow engine. A text
-therefore waits for a busy engine if it would end sooner there, for at most `MAX_HOLD_S` because the
-prediction may be wrong; the free slot goes to a shorter text. Texts on one engine never need more
-memory than it has, unless it runs just one: an engine that runs out preempts running texts.
+A text may wait for a busy, fast engine rather than take a free slot on a slow one.
 
 >>> fast = EngineState("fast", time_per_event_s=0.05, slots=1, end_times_s=[1.0])
 >>> slow = EngineState("slow", time_per_event_s=0.1, slots=1)
@@ -77,7 +74,10 @@
         return self.in_flight < self.slots
 
     def has_memory(self, text: TextDemand[Key]) -> bool:
-        """Whether there is memory for a text; an idle engine accepts any text."""
+        """Whether there is memory for a text; an idle engine accepts any text.
+
+        An engine that runs out of memory preempts texts and has to prefill them again.
+        """
         return self.free_tokens is None or self.in_flight == 0 or text.tokens <= self.free_tokens
 
     def predicted_end_s(self, text: TextDemand[Key], now_s: float) -> float:
@@ -167,7 +167,11 @@
 
 
 class EarliestEnd(PlacementPolicy):
-    """Picks the engine where the text ends first, even if it has to wait for a slot."""
+    """Picks the engine where the text ends first, even if it has to wait for a slot.
+
+    The free slot then goes to a shorter text, for which the speed of the engine matters less. The
+    wait is bounded by `MAX_HOLD_S`, because the prediction may be wrong.
+    """
 
     def choose(
         self, text: TextDemand[Key], engines: Sequence[EngineState[EngineKey]], now_s: float
--- a/src/bellweir/hosted/batches/refusals.py
+++ b/src/bellweir/hosted/batches/refusals.py
@@ -1,9 +1,7 @@
 """Holds runs back from workers that refuse a model, as they do while loading its weights.
 
-A worker that refused a run backs off briefly and then gets one run at a time until it accepts one;
-otherwise its free slots would attract runs that it refuses again. Other models on the same worker
-are not affected. Where a weight load is announced, the backoff starts before the first refusal and
-lasts for the expected load time.
+Otherwise the free slots of such a worker would attract runs that it refuses again. Other models on
+the same worker are not affected.
 
 >>> refusals = RefusalBackoff(now_s=lambda: 1.0)
 >>> worker = Incarnation("i-1")
@@ -38,6 +36,9 @@
 class RefusalBackoff(LoadListener):
     """Backoff by worker and model. Thread-safe.
 
+    After the backoff a worker gets one run at a time until it accepts one. Where a weight load is
+    announced, the backoff starts before the first refusal and lasts for the expected load time.
+
     Every `record_start` must be followed by one of `record_accepted`, `record_refusal` and
     `record_end`.
     """
--- a/src/bellweir/hosted/batches/step_ordering.py
+++ b/src/bellweir/hosted/batches/step_ordering.py
@@ -1,13 +1,7 @@
 """Orders the groups of open steps of all trainers that compete for the same engines.
 
-A step's trainer waits for a number of whole groups by the step's due time. The order maximizes the
-number of needed groups that are in time, by the algorithm of Moore and Hodgson for minimizing late
-jobs: groups are added by due time, and when those added can't be finished by the due time of the
-latest one, a group is deferred: the one with the lowest priority, then of the tenant with the most
-work, then with the most work left. Late groups follow and keep a small share of the slots, so that
-they end under any load; surplus groups, which no trainer waits for, come last.
-
-The work of a group is the number of events that its texts still need.
+A trainer waits for a number of complete groups by its step's due time. The work of a group is the
+number of events that its texts still need.
 
 >>> def step(job, due_s, *works):
 ...     groups = [
@@ -166,7 +160,12 @@
 
 
 class MostInTime(OrderingPolicy):
-    """Maximizes the number of needed groups that are in time."""
+    """Maximizes the number of needed groups that are in time.
+
+    Uses the algorithm of Moore and Hodgson for minimizing the number of late jobs. Late groups
+    follow and keep a small share of the slots, so that they end under any load; surplus groups,
+    which no trainer waits for, come last.
+    """
 
     def order(
         self, steps: Sequence[StepDemand], pool: EnginePool, now_s: float
@@ -231,7 +230,11 @@
 def _split_late(
     needed: Sequence[StepGroup], pool: EnginePool, now_s: float
 ) -> tuple[list[StepGroup], list[StepGroup]]:
-    """Split groups, ordered by due time, into those that can be in time together and late ones."""
+    """Split groups, ordered by due time, into those that can be in time together and late ones.
+
+    When the work scheduled so far can't be done by the due time of a group, one is deferred: the
+    one with the lowest priority, then of the tenant with the most work, then with the most work.
+    """
     scheduled: list[StepGroup] = []
     late: list[StepGroup] = []
     work = 0.0
--- a/src/bellweir/hosted/batches/step_scheduler.py
+++ b/src/bellweir/hosted/batches/step_scheduler.py
@@ -1,8 +1,7 @@
 """Ranks the items of open steps when several trainers compete for the same engines.
 
-Where the steps of only one trainer use a service, they run oldest first, the longest texts of each
-step first. Where several trainers compete, `step_ordering` orders their groups; the order is
-recomputed every `ORDER_INTERVAL_S`, and at once when a step is added or ends.
+Steps of one trainer run oldest first, the longest texts of each step first. The groups of competing
+trainers are ordered by `step_ordering`.
 """
 
 import time
@@ -70,7 +69,10 @@
 
 
 class StepScheduler:
-    """Ranks items of open steps. Not thread-safe: called by the coordinator's task only."""
+    """Ranks items of open steps. Not thread-safe: called by the coordinator's task only.
+
+    The order is recomputed every `ORDER_INTERVAL_S`, and at once when a step is added or ends.
+    """
 
     def __init__(
         self,
--- a/src/bellweir/hosted/batches/worker_quarantine.py
+++ b/src/bellweir/hosted/batches/worker_quarantine.py
@@ -1,10 +1,6 @@
-"""Tells workers that fail every run from items that fail on every worker.
+"""Quarantines workers that fail every run, as opposed to items that fail on every worker.
 
-A worker that fails at once has free slots at once and would attract item after item. It counts as
-failing when it failed several items in a row while most workers of its service did not, or while
-another one has succeeded since. It is then quarantined with exponential backoff and probed with one
-run at a time. At most half of a service is quarantined. A status 500 counts against an item only if
-its worker is not failing itself.
+A worker that fails at once has free slots at once and would attract item after item.
 
 >>> quarantine = WorkerQuarantine(now_s=lambda: 1.0)
 >>> workers = [Incarnation(name) for name in ("i-1", "i-2", "i-3")]
@@ -59,6 +55,11 @@
 class WorkerQuarantine:
     """Quarantines failing workers. Thread-safe.
 
+    A worker counts as failing when it failed several items in a row while most workers of its
+    service did not, or while another one has succeeded since. It is quarantined with exponential
+    backoff and then probed with one run at a time. At most half of a service is quarantined: where
+    more of it fails, a failing worker is better than none.
+
     Every `record_start` must be followed by `record_end`.
     """
 
