--- a/features/support/hosted_gateway.py
+++ b/features/support/hosted_gateway.py
@@ -10,7 +10,7 @@
 
 from bellweir.hosted.interface import Listing, StoredRecord
 from bellweir.hosted.queueing.gate import RequestGate
-from bellweir.hosted.room.observed import ObservedRoom
+from bellweir.hosted.room.observed import ObservedCapacity
 from bellweir.hosted.serving.application import RequestApplication
 from bellweir.hosted.serving.attempt import WorkerConnections
 from bellweir.hosted.serving.forwarding import Forwarder
@@ -18,10 +18,10 @@
 from bellweir.hosted.serving.selection import WorkerLoads
 from bellweir.hosted.serving.streams import StreamForwarder
 from bellweir.hosted.settings import RoomSettings
-from bellweir.hosted.sight.interface import WorkerSeen
+from bellweir.hosted.sight.interface import WorkerStats
 from bellweir.hosted.tenants.admission import KeyCheck
 from bellweir.hosted.usage.counter import UsageCounter
-from bellweir.hosted.usage.true_time import TrueTime
+from bellweir.hosted.usage.wall_clock import StableWallClock
 from bellweir.hosted.views.configuration import ConfigurationView
 from bellweir.hosted.views.workers import WorkersView
 from bellweir.http_server.caller_watch import CallerWatch
@@ -68,8 +68,8 @@
     def __init__(self):
         self.told = {}
 
-    def seen(self, incarnation):
-        return self.told.get(incarnation, WorkerSeen(incarnation))
+    def stats(self, incarnation):
+        return self.told.get(incarnation, WorkerStats(incarnation))
 
 
 class GatewayUnderTest:
@@ -78,19 +78,21 @@
     def __init__(self, workers, sight=None, room_settings=None):
         self.executors = Executors()
         self.view, self.workers = ConfigurationView(), WorkersView()
-        self.view.take(configuration(), "test")
+        self.view.apply(configuration(), "test")
         self.show_workers({worker.instance: worker.entry("app") for worker in workers})
         self.loads = WorkerLoads("a", sight=sight)
         connections = self._connections = (
-            WorkerConnections(HEADERS, sight.load_told) if sight else WorkerConnections(HEADERS)
+            WorkerConnections(HEADERS, sight.record_load) if sight else WorkerConnections(HEADERS)
         )
-        self.workers.subscribe_addresses(connections.renew)
+        self.workers.subscribe_address_changes(connections.renew)
         self.caller_watch = CallerWatch(self.executors)
         self.caller_watch.start()
         self.metrics = RequestMetrics()
-        self.usage = UsageCounter(USAGE_WINDOW_S, TrueTime())
+        self.usage = UsageCounter(USAGE_WINDOW_S, StableWallClock())
         self.known_workers = WorkersSeen()
-        room = ObservedRoom(self.loads.in_hand, self.loads.mean_s, sight or self.known_workers)
+        room = ObservedCapacity(
+            self.loads.in_flight, self.loads.mean_s, sight or self.known_workers
+        )
         self.room_settings = room_settings or RoomSettings()
         self.refused = []
         self.gate = RequestGate(room, self.room_settings, self.refused.append)
@@ -127,7 +129,7 @@
             StoredRecord("servers", name, 1, msgspec.json.decode(msgspec.json.encode(entry)))
             for name, entry in entries.items()
         )
-        self.workers.take_listing(Listing(1, records))
+        self.workers.apply_listing(Listing(1, records))
 
     def forget_configuration(self):
         self.application._configuration = ConfigurationView()
--- a/src/bellweir/hosted/batches/worker_selection.py
+++ b/src/bellweir/hosted/batches/worker_selection.py
@@ -8,7 +8,7 @@
 from bellweir.hosted.batches.run_mover import Run
 from bellweir.hosted.incarnation import Incarnation
 from bellweir.hosted.records import Route
-from bellweir.hosted.serving.selection import WeightedParts, WorkerLoads
+from bellweir.hosted.serving.selection import WeightedRoundRobin, WorkerLoads
 from bellweir.hosted.settings import BatchSettings
 from bellweir.hosted.views.configuration import RouteTable
 from bellweir.hosted.views.workers import Worker, WorkersView
@@ -28,7 +28,7 @@
         self._loads = loads
         self._attempts = attempts
         self._policy = policy
-        self._parts = WeightedParts()
+        self._parts = WeightedRoundRobin()
         self._forecast = EngineForecast(attempts, policy)
         if policy.set_failing_aside:
             attempts.fellows_of = lambda worker: self._service_workers(worker.entry.service)
@@ -61,7 +61,7 @@
         """Workers of a service that an item's run could be moved to, with their free slots."""
         failing = self._attempts.failing.failing_workers(self._service_workers(service))
         return [
-            (worker, worker.entry.slots - self._loads.in_hand(worker.incarnation))
+            (worker, worker.entry.slots - self._loads.in_flight(worker.incarnation))
             for worker in self._eligible(service, progress)
             if worker.incarnation not in failing and self._can_accept(worker, progress)
         ]
@@ -126,10 +126,10 @@
             or not forecast.has_uneven_speeds(eligible)
         ):
             return self._loads.choose(available, (), time_per_event_of)
-        busy = [one for one in eligible if self._loads.in_hand(one.incarnation) >= one.entry.slots]
+        busy = [one for one in eligible if self._loads.in_flight(one.incarnation) >= one.entry.slots]
         chosen = forecast.choose(available, busy, progress)
         if chosen is not None:
-            self._loads.take(chosen)
+            self._loads.acquire(chosen)
         return chosen
 
     def _acquire_move_target(self, route: Route, progress: ItemProgress) -> Worker | None:
@@ -140,7 +140,7 @@
             for worker in self._eligible(part.service, progress):
                 is_target = worker.incarnation == progress.moved_to
                 if is_target and self._can_accept(worker, progress):
-                    self._loads.take(worker)
+                    self._loads.acquire(worker)
                     self._record_start(worker, progress)
                     return worker
         return None
@@ -188,7 +188,7 @@
         return [worker.incarnation for worker in self._workers.ready(service)]
 
     def _is_excluded(self, worker: Worker) -> bool:
-        return self._policy.pass_over_failed and self._loads.is_avoided(worker.incarnation)
+        return self._policy.pass_over_failed and self._loads.is_penalized(worker.incarnation)
 
     def _can_accept(self, worker: Worker, progress: ItemProgress) -> bool:
         if progress.stage is Stage.TEXT:
@@ -199,7 +199,7 @@
                 return False
             if not self._forecast.has_memory(worker, progress):
                 return False
-        return self._loads.in_hand(worker.incarnation) < worker.entry.slots
+        return self._loads.in_flight(worker.incarnation) < worker.entry.slots
 
 
 def score_route(progress: ItemProgress, table: RouteTable) -> Route | None:
