--- a/features/steps/hosted_forwarding_steps.py
+++ b/features/steps/hosted_forwarding_steps.py
@@ -246,7 +246,7 @@
         worker.event_pause_s = 0.002
     loads = WorkerLoads("a")
     connections = WorkerConnections(HEADERS)
-    context.cleanup.callback(connections.forget_others, set())
+    context.cleanup.callback(connections.retain, set())
     attempts = ItemAttempts(connections, loads)
     worker = context.gateway.workers.worker("i-a")
     for number in range(60):
--- a/features/support/hosted_gateway.py
+++ b/features/support/hosted_gateway.py
@@ -136,7 +136,7 @@
         self.caller_watch.stop()
         self.server.close_all()
         self.executors.stop()
-        self._connections.forget_others(set())
+        self._connections.retain(set())
 
     def send(self, path, body=b"body", deadline_ms=5_000, host=HOST, more=()):
         """Send one request; its answer with status, headers, body and whether it was whole."""
--- a/features/support/hosted_jobs.py
+++ b/features/support/hosted_jobs.py
@@ -145,7 +145,7 @@
     show()
     ledger, loads = MemoryLedger(), WorkerLoads("a")
     connections = WorkerConnections(HEADERS)
-    context.cleanup.callback(connections.forget_others, set())
+    context.cleanup.callback(connections.retain, set())
     attempts = ItemAttempts(connections, loads)
     coordinator = Coordinator(ledger, view, workers, loads, attempts, executors, policy)
     executors.run_task("coordinator", coordinator.run)
--- a/src/bellweir/hosted/batches/service.py
+++ b/src/bellweir/hosted/batches/service.py
@@ -113,8 +113,8 @@
         while not stopping.wait(TIDY_PERIOD_S):
             workers = self._views.workers.all()
             incarnations = {worker.incarnation for worker in workers}
-            self._loads.forget_others(incarnations)
+            self._loads.retain(incarnations)
             self._attempts.refusals.forget_others(incarnations)
             self._attempts.failing.forget_others(incarnations)
             self._attempts.paces.forget_others(incarnations)
-            self._connections.forget_others({worker.address for worker in workers})
+            self._connections.retain({worker.address for worker in workers})
--- a/src/bellweir/hosted/serving/__init__.py
+++ b/src/bellweir/hosted/serving/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway role: directory, routing and forwarding of requests."""
+"""The gateway role: service discovery, routing and forwarding of requests."""
--- a/src/bellweir/hosted/serving/application.py
+++ b/src/bellweir/hosted/serving/application.py
@@ -1,4 +1,4 @@
-"""WSGI applications of the gateway's interfaces: requests, directory, readiness, metrics."""
+"""WSGI application for client requests and for the batch job API."""
 
 from collections.abc import Callable, Iterable, Iterator
 
@@ -23,11 +23,10 @@
 
 NO_CONFIGURATION_RETRY_AFTER_S = 0.5
 UNDECIDED_RETRY_AFTER_S = 0.1
-"""A node that can't judge a key sends the client to another one, which most likely can."""
 
 
 class RequestApplication:
-    """Serves clients' requests, and the calls about batch jobs."""
+    """Serves client requests and calls of the batch job API."""
 
     def __init__(
         self,
@@ -40,7 +39,7 @@
         *,
         sends_urgency: bool = False,
     ) -> None:
-        """With `sends_urgency` engines are told the priority of each request."""
+        """`sends_urgency`: pass the priority of each request to engines in a header."""
         self._sends_urgency = sends_urgency
         self._names = names
         self._configuration = configuration
@@ -65,7 +64,7 @@
             response.headers.append((self._names.request_id, request_id))
         if response.chunks is not None:
             start_response(response.status_line, response.headers)
-            return _CutOnFailure(response.chunks, environ)
+            return _AbortOnFailure(response.chunks, environ)
         if not _has(response, "Content-Length"):
             response.headers.append(("Content-Length", str(len(response.body))))
         start_response(response.status_line, response.headers)
@@ -78,16 +77,16 @@
         host = request.header("Host") or ""
         if self._batches.is_call(request):
             admission = self._admit(request, table, is_public=table.has_public_jobs(host))
-            refusal = self._refuse_sender(request, admission)
+            refusal = self._refuse_unauthorized(request, admission)
             return refusal or self._batches.serve_call(request, admission.tenant_name)
         route = table.find(host, request.raw_path)
         if route is None and table.is_closed(host, request.raw_path):
-            self._note_refusal(request, 503, "route_unreadable")
+            self._log_refusal(request, 503, "route_unreadable")
             return gateway_response(503, "route_unreadable", NO_CONFIGURATION_RETRY_AFTER_S)
         if route is None:
             return self._refuse(request, 404, "no_route")
         admission = self._admit(request, table, is_public=route.public)
-        refusal = self._refuse_sender(request, admission)
+        refusal = self._refuse_unauthorized(request, admission)
         if refusal is not None:
             return refusal
         tenant = admission.tenant_name if table.keys.are_required else None
@@ -102,13 +101,13 @@
         return self._forwarder.forward(client, table)
 
     def _admit(self, request: Request, table: RouteTable, *, is_public: bool) -> Admission:
-        """Judge a request's key before anything of its body is read."""
+        """Check the request's API key before any of its body is read."""
         authorization = request.header(self._names.authorization)
         return self._key_check.check(
             table, authorization, is_public=is_public, request_id=request.request_id
         )
 
-    def _refuse_sender(self, request: Request, admission: Admission) -> Response | None:
+    def _refuse_unauthorized(self, request: Request, admission: Admission) -> Response | None:
         if admission.verdict is Verdict.REFUSED:
             return self._refuse(request, 401, "unknown_key")
         if admission.verdict is Verdict.UNDECIDED:
@@ -116,13 +115,13 @@
         return None
 
     def _refuse(self, request: Request, status: int, cause: str) -> Response:
-        self._note_refusal(request, status, cause)
+        self._log_refusal(request, status, cause)
         response = gateway_response(status, "refused" if status < 500 else "internal_error")
         if status == 401:
             response.headers.append(("WWW-Authenticate", "Bearer"))
         return response
 
-    def _note_refusal(self, request: Request, status: int, cause: str) -> None:
+    def _log_refusal(self, request: Request, status: int, cause: str) -> None:
         table = self._configuration.table()
         emit(
             REQUEST_GIVEN_UP,
@@ -136,8 +135,8 @@
         )
 
 
-class _CutOnFailure:
-    """The pieces of an answer; a failure ends the connection short, so that it shows."""
+class _AbortOnFailure:
+    """Body chunks of a response; aborts the connection on failure so that the client notices."""
 
     def __init__(self, chunks: Iterable[bytes], environ: Environ) -> None:
         self._chunks = chunks
@@ -151,7 +150,7 @@
             raise ClientDisconnected from failure
 
     def close(self) -> None:
-        """Release what the pieces hold."""
+        """Release the resources held by the chunks."""
         close = getattr(self._chunks, "close", None)
         if close is not None:
             close()
--- a/src/bellweir/hosted/serving/attempt.py
+++ b/src/bellweir/hosted/serving/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at one worker: sent, answered or failed, and what is known of it."""
+"""A single attempt of a request at a worker, and the connections used for it."""
 
 import http.client
 import threading
@@ -22,28 +22,28 @@
 Headers = list[tuple[str, str]]
 
 HOP_BY_HOP = HOP_BY_HOP_HEADERS | {"content-length", "date", "server"}
-"""Headers that concern one connection, and those that the server sets itself."""
+"""Hop-by-hop headers, and headers that the server sets itself."""
 SUCCESS_STATUSES = range(200, 300)
 NOT_RUN_STATUSES = frozenset({421, 429})
-"""Statuses with which a worker surely has not run a request."""
+"""Statuses that guarantee that the worker has not run the request."""
 
 
 class AttemptState(Enum):
-    """What is known of an attempt."""
+    """Outcome of an attempt."""
 
     ANSWERED = "answered"
-    """The worker answered, whatever its status; the answer is its own."""
+    """The worker responded to this request, with any status."""
     REFUSED = "refused"
-    """The worker says that it has not run the request."""
+    """The worker stated that it has not run the request."""
     NOT_SENT = "not_sent"
-    """Surely not run: nothing reached the worker."""
+    """The request did not reach the worker, so it has not run."""
     UNKNOWN = "unknown"
-    """It may have run: no answer, a broken one, or another request's."""
+    """May have run: no response, a truncated one, or one to another request."""
 
 
 @dataclass(frozen=True)
 class BufferedResponse:
-    """A worker's answer with its whole body."""
+    """A worker's response with its complete body."""
 
     status: int
     headers: Headers
@@ -52,17 +52,17 @@
 
 @dataclass(frozen=True)
 class AttemptOutcome:
-    """How an attempt ended."""
+    """Result of a completed attempt."""
 
     state: AttemptState
     detail: str = ""
     answer: BufferedResponse | None = None
-    """The worker's answer; also of a refusal, where there was one."""
+    """Response of the worker, if any; refusals may have one, too."""
 
 
 @dataclass(frozen=True)
 class OpenedAttempt:
-    """An attempt whose answer's headers are read; its body is to be read from `opened`."""
+    """An attempt whose response headers have been read; the body is read from `opened`."""
 
     state: AttemptState
     opened: OpenAnswer | None
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True)
 class WorkerCall:
-    """What is sent to a worker."""
+    """Request to be sent to a worker."""
 
     method: str
     path: str
@@ -83,7 +83,7 @@
 
 
 class Cancellation:
-    """Ends the attempt in hand from another thread, once or before it begins."""
+    """Aborts the current attempt from another thread; also prevents attempts not yet started."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -91,14 +91,14 @@
         self.cancelled = threading.Event()
 
     def attach(self, answer: OpenAnswer) -> None:
-        """Note the attempt in hand."""
+        """Set the response to abort; aborts it at once if already cancelled."""
         with self._lock:
             self._answer = answer
         if self.cancelled.is_set():
             answer.abort()
 
     def cancel(self) -> None:
-        """End the attempt in hand, and let none begin."""
+        """Abort the current attempt and prevent further ones."""
         self.cancelled.set()
         with self._lock:
             answer = self._answer
@@ -114,34 +114,34 @@
         headers: HeaderNames,
         on_load: Callable[[Incarnation, WorkerLoad], None] = lambda _worker, _load: None,
     ) -> None:
-        """`on_load` gets what a worker says of its own load on an answer."""
+        """`on_load` is called with the load that a worker reports in a response header."""
         self.headers = headers
         self._on_load = on_load
         self._lock = threading.Lock()
         self._pools: dict[str, ConnectionPool] = {}
 
     def pool(self, address: str) -> ConnectionPool:
-        """The pool of one address."""
+        """Return the pool of an address, creating it if needed."""
         with self._lock:
             if address not in self._pools:
                 self._pools[address] = ConnectionPool(address)
             return self._pools[address]
 
     def has_idle(self, address: str) -> bool:
-        """Whether a connection to an address is open and free."""
+        """Return whether an idle connection to an address is open."""
         with self._lock:
             pool = self._pools.get(address)
         return pool is not None and pool.has_idle()
 
     def renew(self, address: str) -> None:
-        """Use no connection of before: another worker is there, or one that started again."""
+        """Stop using existing connections to an address, since its worker changed or restarted."""
         with self._lock:
             pool = self._pools.get(address)
         if pool is not None:
             pool.renew()
 
-    def forget_others(self, addresses: set[str]) -> None:
-        """Close the idle connections to addresses that no worker has any more."""
+    def retain(self, addresses: set[str]) -> None:
+        """Drop the pools of all addresses but these, closing their idle connections."""
         with self._lock:
             gone = {name: pool for name, pool in self._pools.items() if name not in addresses}
             for name in gone:
@@ -157,9 +157,9 @@
         deadline_ms: float,
         cancellation: Cancellation,
     ) -> OpenedAttempt:
-        """Send a request and read the answer's headers.
+        """Send a request and read the response headers.
 
-        Raises what reading the body raises.
+        Errors raised while the request body is read are propagated.
         """
         names = self.headers
         headers = dict(call.headers)
@@ -186,20 +186,20 @@
     def _judge(self, opened: OpenAnswer, request_id: str) -> OpenedAttempt:
         names = self.headers
         opened.ends_with_connection = True
-        found = opened.headers
-        not_run = names.not_executed.lower() in found or opened.status in NOT_RUN_STATUSES
-        answered_id = found.get(names.request_id.lower())
+        received = opened.headers
+        not_run = names.not_executed.lower() in received or opened.status in NOT_RUN_STATUSES
+        answered_id = received.get(names.request_id.lower())
         if answered_id is None and not_run:
             return OpenedAttempt(AttemptState.REFUSED, opened, f"status {opened.status}")
         if answered_id != request_id:
             opened.drop()
-            detail = f"an answer to request {answered_id}"
+            detail = f"response to request {answered_id}"
             return OpenedAttempt(AttemptState.UNKNOWN, None, detail)
         if not_run:
             return OpenedAttempt(AttemptState.REFUSED, opened, f"status {opened.status}")
-        if opened.status in SUCCESS_STATUSES and names.stamp.lower() not in found:
+        if opened.status in SUCCESS_STATUSES and names.stamp.lower() not in received:
             opened.drop()
-            return OpenedAttempt(AttemptState.UNKNOWN, None, "a success without a signature")
+            return OpenedAttempt(AttemptState.UNKNOWN, None, "success response without a signature")
         return OpenedAttempt(AttemptState.ANSWERED, opened)
 
     def call(
@@ -210,35 +210,35 @@
         deadline_ms: float,
         cancellation: Cancellation,
     ) -> AttemptOutcome:
-        """Send a request and read the whole answer."""
-        began = self.open(worker, call, timeout_s, deadline_ms, cancellation)
-        if began.opened is None:
-            return AttemptOutcome(began.state, began.detail)
-        return read_response(began.opened, began)
+        """Send a request and read the complete response."""
+        attempt = self.open(worker, call, timeout_s, deadline_ms, cancellation)
+        if attempt.opened is None:
+            return AttemptOutcome(attempt.state, attempt.detail)
+        return read_response(attempt.opened, attempt)
 
 
-def read_response(opened: OpenAnswer, began: OpenedAttempt) -> AttemptOutcome:
-    """Read the rest of an answer; one that is cut leaves its run unknown."""
+def read_response(opened: OpenAnswer, attempt: OpenedAttempt) -> AttemptOutcome:
+    """Read the rest of a response; the outcome of a truncated one is unknown unless refused."""
     try:
         body = opened.read_all()
     except (OSError, http.client.HTTPException, ValueError) as failure:
         opened.drop()
         state = AttemptState.UNKNOWN
-        if began.state is AttemptState.REFUSED:
-            state = began.state
-        return AttemptOutcome(state, f"answer cut: {failure!r}")
+        if attempt.state is AttemptState.REFUSED:
+            state = attempt.state
+        return AttemptOutcome(state, f"response truncated: {failure!r}")
     answer = BufferedResponse(opened.status, response_headers(opened), body)
     opened.finish()
-    return AttemptOutcome(began.state, began.detail, answer)
+    return AttemptOutcome(attempt.state, attempt.detail, answer)
 
 
 def response_headers(opened: OpenAnswer) -> Headers:
-    """Headers of a worker's answer that go on to the client."""
+    """Return the headers of a worker's response that are forwarded to the client."""
     return without_hop_by_hop(list(opened.response.headers.items()))
 
 
 def without_hop_by_hop(headers: Headers) -> Headers:
-    """Drop headers that concern one connection, those named in `Connection` included."""
+    """Drop hop-by-hop headers, including those named in `Connection`."""
     named = {
         name.strip().lower()
         for key, value in headers
@@ -250,16 +250,16 @@
 
 
 class Stopwatch:
-    """Time since its making, in seconds and whole milliseconds."""
+    """Measures the time since its creation."""
 
     def __init__(self, now_s: Callable[[], float] = time.monotonic) -> None:
         self._now_s = now_s
         self._began_s = now_s()
 
     def seconds(self) -> float:
-        """Seconds passed."""
+        """Return the elapsed seconds."""
         return self._now_s() - self._began_s
 
     def milliseconds(self) -> int:
-        """Whole milliseconds passed."""
+        """Return the elapsed time, rounded to milliseconds."""
         return round(1000 * self.seconds())
--- a/src/bellweir/hosted/serving/client_request.py
+++ b/src/bellweir/hosted/serving/client_request.py
@@ -1,4 +1,4 @@
-"""A client's request as the gateway forwards it."""
+"""Client requests: deadline, body and headers as forwarded to workers."""
 
 import io
 import time
@@ -11,26 +11,26 @@
 from bellweir.http_server.body_pipe import BodyPipe
 from bellweir.http_server.http import BadRequestError, Request
 
-REPLAY_BYTES = 256 * 1024
-"""Longest body that is kept, so that it can be sent again."""
+MAX_REPLAY_BYTES = 256 * 1024
+"""Largest body that is buffered so that the request can be retried."""
 MS_PER_S = 1000
-LAST_URGENCY = 9
+LOWEST_URGENCY = 9
 SET_BY_GATEWAY = frozenset({"host", "expect"})
 
 
 class PrefixedBody(io.RawIOBase):
-    """A body whose beginning has been read already and whose rest still comes."""
+    """A request body of which a prefix has already been read."""
 
     def __init__(self, beginning: bytes, rest: BodyPipe) -> None:
         self._beginning = beginning
         self._rest = rest
 
     def readable(self) -> bool:
-        """Tell that it can be read."""
+        """Return True."""
         return True
 
     def read(self, size: int = -1) -> bytes:
-        """Read a block; raises `BodyCutError` when the client does not send the rest."""
+        """Read a block. Raises `BodyCutError` if the client does not send the rest."""
         if self._beginning:
             size = len(self._beginning) if size < 0 else size
             block, self._beginning = self._beginning[:size], self._beginning[size:]
@@ -40,42 +40,42 @@
 
 @dataclass
 class ClientRequest:
-    """One request of a client under a route, with its deadlines on the monotonic clock."""
+    """A client request with its route; times are on the monotonic clock."""
 
     request: Request
     route: Route
     request_id: str
     arrived_s: float
-    give_up_s: float
-    """When the client must have an answer: its deadline or the route's time-out."""
+    deadline_s: float
+    """Deadline for the response: the earlier of the client's deadline and the route's timeout."""
     body: bytes | BinaryIO | None
     headers: Headers
     tenant: str = ""
-    """Name of the tenant whose key the client carried; empty without one."""
+    """Name of the tenant that the API key belongs to; empty without one."""
     priority: int = 5
-    """Rank of the request, 0 first: its tenant's, or else its route's."""
+    """Priority of the tenant or else of the route; 0 is the highest."""
 
     @property
     def target_s(self) -> float:
-        """Seconds from its arrival within which an answer has its full worth."""
+        """Latency target of the route in seconds."""
         return self.route.target_ms / MS_PER_S
 
     @property
     def left_share(self) -> float:
-        """Which part of the route's time is left to the client, 0 to 1."""
+        """Fraction of the route's timeout that is left, 0 to 1."""
         return min(1.0, max(0.0, self.left_s() * MS_PER_S / max(1.0, self.route.timeout_ms)))
 
     @property
     def may_be_sent_again(self) -> bool:
-        """Whether the body can be sent more than once."""
+        """Whether the body is buffered, so that the request can be retried."""
         return self.body is None or isinstance(self.body, bytes)
 
     def left_s(self) -> float:
-        """Seconds until the client must have an answer."""
-        return self.give_up_s - time.monotonic()
+        """Return the seconds left until the deadline."""
+        return self.deadline_s - time.monotonic()
 
     def call(self) -> WorkerCall:
-        """What is sent to a worker."""
+        """Return the request to send to a worker."""
         request = self.request
         path = request.raw_path
         if request.raw_query:
@@ -93,9 +93,9 @@
 ) -> ClientRequest:
     """Read a request's deadline, headers and body. Raises `BadRequestError`, `BodyCutError`.
 
-    `tenant` is None where the deployment has no tenants, and empty for a request without a key.
-    Its client's key goes to no worker, nor does what the client itself says of its tenant.
-    `priority` is the tenant's; None: the route's counts.
+    `tenant` is None if the deployment has no tenants, and empty for a request without a key.
+    With tenants, neither the client's key nor a tenant header set by the client is forwarded.
+    `priority` is the tenant's; None means that of the route.
     """
     arrived_s = time.monotonic()
     request_id = request.header(names.request_id)
@@ -115,7 +115,7 @@
         route=route,
         request_id=request_id,
         arrived_s=arrived_s,
-        give_up_s=arrived_s + min(left_s, timeout_s),
+        deadline_s=arrived_s + min(left_s, timeout_s),
         body=body,
         headers=headers,
         tenant=tenant or "",
@@ -124,20 +124,20 @@
 
 
 def with_tenant(headers: Headers, tenant: str, names: HeaderNames) -> Headers:
-    """Return a request's headers with its tenant's name in place of its key."""
+    """Replace the API key in the headers by the tenant's name."""
     dropped = names.of_client_only
     kept = [(name, value) for name, value in headers if name.lower() not in dropped]
     return [*kept, (names.tenant, tenant)] if tenant else kept
 
 
 def with_urgency(headers: Headers, priority: int, names: HeaderNames) -> Headers:
-    """Return a request's headers with its priority in place of what the client itself says.
+    """Set the urgency header from the priority, overriding any value set by the client.
 
-    Engines know ten ranks; a lesser one is their last.
+    Engines accept urgencies 0 to 9, so lower priorities are mapped to 9.
     """
     name = names.urgency
     kept = [each for each in headers if each[0].lower() != name.lower()]
-    return [*kept, (name, str(min(LAST_URGENCY, max(0, priority))))]
+    return [*kept, (name, str(min(LOWEST_URGENCY, max(0, priority))))]
 
 
 def _parse_ms(text: str, name: str) -> float:
@@ -146,12 +146,12 @@
     except ValueError:
         number = -1.0
     if not 0 <= number < float("inf"):
-        raise BadRequestError(f"{name}: found {text[:40]!r}, allowed a number from 0")
+        raise BadRequestError(f"{name}: expected a number >= 0, got {text[:40]!r}")
     return number
 
 
 def _read_body(request: Request) -> tuple[bytes | BinaryIO | None, int | None]:
-    """The body, whole when it is short, and its declared length."""
+    """Return the body, buffered if it is short, and its declared length."""
     source = request.body
     if not isinstance(source, BodyPipe):
         data = source.read()
@@ -159,8 +159,8 @@
         return (data if data or declares_body else None), len(data)
     pieces: list[bytes] = []
     size = 0
-    while size <= REPLAY_BYTES:
-        piece = source.read(REPLAY_BYTES)
+    while size <= MAX_REPLAY_BYTES:
+        piece = source.read(MAX_REPLAY_BYTES)
         if not piece:
             return b"".join(pieces), size
         pieces.append(piece)
--- a/src/bellweir/hosted/serving/directory.py
+++ b/src/bellweir/hosted/serving/directory.py
@@ -1,4 +1,4 @@
-"""Tells clients which gateways to use: near ones that are alive and not leaving."""
+"""Service discovery for clients: addresses of nearby gateways that are alive and not draining."""
 
 from collections.abc import Callable
 
@@ -7,10 +7,10 @@
 
 PATH = "/endpoints"
 TTL_S = 1.0
-"""Time for which clients keep an answer; some keep it three times as long."""
-MAXIMUM_ADDRESSES = 64
-ENOUGH_NEAR = 2
-"""Gateways of the client's own zone below which those of other zones are named, too."""
+"""Cache lifetime told to clients; some cache up to three times as long."""
+MAX_ADDRESSES = 64
+MIN_ZONE_GATEWAYS = 2
+"""With fewer gateways in the client's zone, all gateways of its region are returned."""
 
 
 class Directory:
@@ -20,14 +20,14 @@
         self,
         membership: Membership,
         is_serving: Callable[[], bool],
-        longest_ttl_s: float = TTL_S,
+        max_ttl_s: float = TTL_S,
     ) -> None:
         self._membership = membership
-        self._ttl_s = min(TTL_S, longest_ttl_s)
+        self._ttl_s = min(TTL_S, max_ttl_s)
         self._is_serving = is_serving
 
     def answer(self, request: Request) -> Response:
-        """The addresses for the client's place."""
+        """Return the gateway addresses for the client's region and zone."""
         if request.path != PATH or request.method not in ("GET", "HEAD"):
             return json_response(404, {"error": "not_found"})
         chosen = choose_gateways(
@@ -35,7 +35,7 @@
         )
         if not chosen:
             return json_response(503, {"error": "no_gateway"}, [("Retry-After", "0.5")])
-        return json_response(200, {"addresses": chosen[:MAXIMUM_ADDRESSES], "ttlS": self._ttl_s})
+        return json_response(200, {"addresses": chosen[:MAX_ADDRESSES], "ttlS": self._ttl_s})
 
     def _live(self) -> list[Member]:
         own = self._membership.self_member()
@@ -49,9 +49,9 @@
 
 
 def choose_gateways(live: list[Member], region: str, zone: str) -> list[str]:
-    """Addresses of the gateways for a client's zone, the nearest wide enough choice."""
+    """Return the gateways of the client's zone, of its region if too few, or else all of them."""
     near = [member.gateway_address for member in live if member.zone == zone]
-    if len(near) >= ENOUGH_NEAR:
+    if len(near) >= MIN_ZONE_GATEWAYS:
         return near
     regional = [member.gateway_address for member in live if member.region == region]
     if regional:
--- a/src/bellweir/hosted/serving/failed_attempt.py
+++ b/src/bellweir/hosted/serving/failed_attempt.py
@@ -1,4 +1,4 @@
-"""What follows from an attempt without a usable answer, for every kind of client request."""
+"""Handling of failed attempts: worker statistics, log line and cause of the failure."""
 
 from bellweir.events.log import emit
 from bellweir.hosted.log_events import ATTEMPT_FAILED
@@ -12,13 +12,13 @@
     AttemptState.UNKNOWN: "no_answer",
     AttemptState.NOT_SENT: "not_reached",
 }
-"""Why a request is given up whose last attempt ended so; `ANSWERED` is a worker's own failure."""
-LONGEST_DETAIL = 160
+"""Cause reported if the last attempt ends in a state; `ANSWERED` means a 5xx of the worker."""
+MAX_DETAIL_CHARS = 160
 MS_PER_S = 1000
 
 
 class FailedAttempt:
-    """One attempt that gave no usable answer."""
+    """An attempt without a usable response."""
 
     __slots__ = (
         "detail",
@@ -43,9 +43,9 @@
         is_timed_out: bool = False,
         is_cancelled: bool = False,
     ) -> None:
-        """`number` counts the sends of the request from 1; `milliseconds` is the time taken.
+        """`number` counts the attempts of the request from 1; `milliseconds` is the time taken.
 
-        A try that `is_timed_out` was given up here; one that `is_cancelled` ended with its client.
+        `is_timed_out`: the attempt timeout expired; `is_cancelled`: the client disconnected.
         """
         self.is_timed_out = is_timed_out
         self.is_cancelled = is_cancelled
@@ -57,11 +57,11 @@
         self.milliseconds = milliseconds
 
     def record(self, loads: WorkerLoads) -> str:
-        """Release the worker's place with a verdict on the worker, log it, return the cause.
+        """Record the failure at the worker, log it and return its cause.
 
-        A worker that answered at all is only passed over for a moment. One that was not reached
-        or gave no answer is passed over longer, and longer still with each failure in a row. The
-        end of a try whose client left tells nothing of the worker.
+        A worker that responded gets a short penalty. One that was not reached or did not respond
+        gets a longer one, which grows with consecutive failures. A cancelled attempt says nothing
+        about the worker.
         """
         self._release(loads)
         emit(
@@ -71,7 +71,7 @@
             instance=self.worker.instance,
             address=self.worker.address,
             outcome=self.state.value,
-            detail=self.detail[:LONGEST_DETAIL],
+            detail=self.detail[:MAX_DETAIL_CHARS],
             ms=self.milliseconds,
         )
         return CAUSES[self.state]
--- a/src/bellweir/hosted/serving/forwarding.py
+++ b/src/bellweir/hosted/serving/forwarding.py
@@ -1,9 +1,8 @@
-"""Forwards a request to workers until one answers it, and tells the client the truth if none does.
+"""Forwards requests to workers, with retries.
 
-A request of an idempotent route may be tried at several workers, also when an attempt's outcome
-is unknown. Any other request is tried again only after an attempt that surely has not run it.
-Statuses of this service's own: 503 only for a request that has not run, with the time after which
-to come back; 504 and 502 for one that may have run.
+Requests of idempotent routes are retried at other workers even if an attempt's outcome is unknown;
+all others only after an attempt that certainly has not run. The gateway itself responds with 503
+and Retry-After only if the request has not run, and with 504 or 502 if it may have run.
 """
 
 import time
@@ -33,46 +32,45 @@
 from bellweir.http_server.caller_watch import CallerWatch
 from bellweir.http_server.http import Response
 
-PATIENCE_OF_TARGET = 0.6
-"""Share of a route's target time after which an idempotent attempt is given up for another."""
-PATIENCE_OF_MEAN = 4.0
-"""An attempt gets at least this many times the worker's usual time."""
-PATIENCE_OF_SLOW = 2.0
-"""The same for the 95th percentile of its fellows, where that is known: 95 of 100 sound ones take
-half of it at most, so that what takes longer is not sound."""
-PATIENCE_OF_OWN = 2.0
-"""And for the usual time here: a gateway that is slow itself must not take its workers for slow."""
-SHORTEST_PATIENCE_S = 0.05
-LATE_SHARE = 0.98
-"""Share of the time that a try was given after which its end without an answer is its lateness."""
+TARGET_TIMEOUT_SHARE = 0.6
+"""Attempt timeout of idempotent requests as a fraction of the route's target latency."""
+MEAN_TIMEOUT_FACTOR = 4.0
+"""Minimum attempt timeout as a multiple of the worker's mean latency."""
+P95_TIMEOUT_FACTOR = 2.0
+"""Attempt timeout as a multiple of the service's 95th percentile latency, where known."""
+LOCAL_MEAN_TIMEOUT_FACTOR = 2.0
+"""The same for this gateway's own mean, so that a slow gateway does not blame its workers."""
+MIN_ATTEMPT_TIMEOUT_S = 0.05
+TIMED_OUT_SHARE = 0.98
+"""Attempts that fail after this fraction of their timeout count as timed out."""
 RETRY_AFTER_FULL_S = 0.2
 RETRY_AFTER_NO_WORKER_S = 0.5
 FULL_CAUSES = frozenset({"workers_full", "no_room"})
-MAXIMUM_SENDS = 8
-"""Sends of one request, those that surely did not run included."""
+MAX_SENDS = 8
+"""Maximum attempts of one request, including those that did not run."""
 SERVER_ERROR = 500
-LONGEST_AGE_S = 1e6
-"""Shown for a list of workers that was never current."""
+MAX_LOGGED_AGE_S = 1e6
+"""Age logged if the list of workers has never been current."""
 
 
 @dataclass
 class Progress:
-    """Attempts of one request so far."""
+    """State of one request across its attempts."""
 
     ran_at: set[Incarnation] = field(default_factory=set)
-    """Incarnations that may have run it; they count for the route's `max_attempts`."""
+    """Incarnations that may have run the request; they count towards the route's `max_attempts`."""
     tried: set[Incarnation] = field(default_factory=set)
     sends: int = 0
     failure: BufferedResponse | None = None
-    """The newest failure that a worker itself has answered."""
+    """The latest 5xx response of a worker."""
     may_have_run: bool = False
     cause: str = "no_worker"
-    is_on_the_way: bool = False
-    """Whether the gate let it go and it has no place at a worker yet."""
+    is_dispatching: bool = False
+    """Whether the gate admitted the request and it is not yet counted at a worker."""
 
 
 class Forwarder:
-    """Serves the requests of routes that neither stream nor take batch jobs."""
+    """Serves requests of routes that neither stream nor take batch jobs."""
 
     def __init__(
         self,
@@ -87,18 +85,18 @@
         gate: RequestGate | None = None,
         wait_share: float = 0.0,
         *,
-        patience_of_fellows: bool = True,
+        uses_service_latency: bool = True,
     ) -> None:
-        """`usage` counts the requests of tenants that workers begin.
+        """`usage` counts the tenants' requests that workers start to run.
 
-        `gate` decides which requests start, wait up to `wait_share` of their target, or are
-        refused; without it all start. `patience_of_fellows`: a first try is given up after the
-        time that fellows take.
+        `gate` decides whether requests are admitted, queued for up to `wait_share` of their target
+        latency, or refused; without it all are admitted. `uses_service_latency`: derive attempt
+        timeouts from the latency of the service's workers.
         """
         self._gate = gate
         self._wait_share = wait_share
         self._usage = usage
-        self._patience_of_fellows = patience_of_fellows
+        self._uses_service_latency = uses_service_latency
         self._workers = workers
         self._loads = loads
         self._connections = connections
@@ -109,58 +107,58 @@
         self._now_s = now_s
 
     def forward(self, client: ClientRequest, table: RouteTable) -> Response:
-        """Serve one request."""
+        """Forward one request and return the response."""
         cancellation = Cancellation()
         watched = self._caller_watch.begin(client.request, cancellation.cancel)
         try:
-            response, progress = self._try_workers(client, table, cancellation)
+            response, progress = self._serve(client, table, cancellation)
         finally:
             self._caller_watch.end(watched)
-        self._account(client, table, response, progress)
+        self._record_outcome(client, table, response, progress)
         return response
 
     def candidates(self, client: ClientRequest, table: RouteTable) -> list[list[Worker]]:
-        """Ready workers of each service of the route, in the order in which to try services."""
+        """Return the ready workers of each service of the route, in the order to try them."""
         route = client.route
         parts = tuple((part.service, part.weight) for part in route.parts)
         key = (table.version, route.host, route.path_prefix)
         return [self._workers.ready(service) for service in self._parts.order(parts, key)]
 
-    def _try_workers(
+    def _serve(
         self, client: ClientRequest, table: RouteTable, cancellation: Cancellation
     ) -> tuple[Response, Progress]:
         progress = Progress()
         groups = self.candidates(client, table)
         if not self._is_admitted(client, groups, cancellation):
             progress.cause = "client_left" if cancellation.cancelled.is_set() else "no_room"
-            return self._own_answer(client, progress, groups), progress
-        progress.is_on_the_way = self._is_gated(client)
+            return self._error_response(client, progress, groups), progress
+        progress.is_dispatching = self._is_gated(client)
         try:
-            answer = self._offer(client, groups, progress, cancellation)
+            answer = self._send_with_retries(client, groups, progress, cancellation)
         finally:
-            # Whatever ends it: one that stays on the way for good takes room from all others.
-            self._took_place(client, progress)
+            # In any case, or the gate would count the request against the capacity forever.
+            self._end_dispatch(client, progress)
         if answer is not None:
-            return _passed_on(answer), progress
-        return self._own_answer(client, progress, groups), progress
+            return _to_response(answer), progress
+        return self._error_response(client, progress, groups), progress
 
-    def _offer(
+    def _send_with_retries(
         self,
         client: ClientRequest,
         groups: list[list[Worker]],
         progress: Progress,
         cancellation: Cancellation,
     ) -> BufferedResponse | None:
-        """Offer a request to workers; the answer to pass on, None where there is none."""
+        """Send the request to workers until one responds; None if none does."""
         while not cancellation.cancelled.is_set():
             worker = self._next_worker(client, groups, progress)
-            self._took_place(client, progress)
+            self._end_dispatch(client, progress)
             if worker is None:
                 break
             outcome = self._attempt(client, worker, progress, cancellation)
             answer = outcome.answer
             if outcome.state is AttemptState.ANSWERED and answer is not None:
-                if answer.status < SERVER_ERROR or not self._may_repeat(client):
+                if answer.status < SERVER_ERROR or not self._is_idempotent(client):
                     return answer
                 progress.failure = answer
         return progress.failure
@@ -168,7 +166,7 @@
     def _is_admitted(
         self, client: ClientRequest, groups: list[list[Worker]], cancellation: Cancellation
     ) -> bool:
-        """Whether a request may go to a worker now; it may wait here for that."""
+        """Whether the gate admits the request; blocks while the request is queued."""
         if self._gate is None or not self._is_gated(client):
             return True
         waiting = Waiting(
@@ -177,52 +175,52 @@
             client.priority,
             client.arrived_s,
             client.arrived_s + self._wait_share * client.target_s,
-            client.give_up_s,
+            client.deadline_s,
             target_s=client.target_s,
         )
         workers = [worker for group in groups for worker in group]
-        return self._gate.admit(_line_of(client), waiting, workers, cancellation.cancelled.is_set)
+        return self._gate.admit(_queue_of(client), waiting, workers, cancellation.cancelled.is_set)
 
-    def _took_place(self, client: ClientRequest, progress: Progress) -> None:
-        """Tell the gate, once, that a request counts at its worker now, or nowhere any more."""
-        if progress.is_on_the_way and self._gate is not None:
-            progress.is_on_the_way = False
-            self._gate.arrived(_line_of(client))
+    def _end_dispatch(self, client: ClientRequest, progress: Progress) -> None:
+        """Tell the gate, once, that the request is counted at a worker or has ended."""
+        if progress.is_dispatching and self._gate is not None:
+            progress.is_dispatching = False
+            self._gate.arrived(_queue_of(client))
 
     def retry_after_s(self, client: ClientRequest, groups: list[list[Worker]], cause: str) -> float:
-        """Seconds after which a refused client is to come back."""
+        """Return the Retry-After of a refused request, in seconds."""
         if not self._is_gated(client):
-            return fixed_retry_after_s(cause)
+            return default_retry_after_s(cause)
         workers = [worker for group in groups for worker in group]
         after_s = None
         if self._gate is not None:
             after_s = self._gate.after_s(
-                _line_of(client), workers, client.target_s, client.left_s(), client.left_share
+                _queue_of(client), workers, client.target_s, client.left_s(), client.left_share
             )
-        return after_s if after_s is not None else fixed_retry_after_s(cause)
+        return after_s if after_s is not None else default_retry_after_s(cause)
 
     def _is_gated(self, client: ClientRequest) -> bool:
-        """Whether the gate decides on a request.
+        """Whether the gate applies to a request.
 
-        Not on those of a route that is split: their services share one line with other routes, and
-        one service's room would be taken for another's.
+        It does not to routes split over several services: queues are per service, and the capacity
+        of one service would be taken for that of another.
         """
         return self._gate is not None and len(client.route.parts) == 1
 
     def _next_worker(
         self, client: ClientRequest, groups: list[list[Worker]], progress: Progress
     ) -> Worker | None:
-        """Take a place at the next worker; None when there is none or the request must end."""
+        """Acquire the next worker; None if there is none or no further attempt is allowed."""
         if client.left_s() <= 0:
             progress.cause = "timeout"
             return None
-        if progress.sends >= MAXIMUM_SENDS:
+        if progress.sends >= MAX_SENDS:
             return None
         if progress.sends and not client.may_be_sent_again:
             return None
         if len(progress.ran_at) >= max(1, client.route.max_attempts):
             return None
-        if progress.may_have_run and not self._may_repeat(client):
+        if progress.may_have_run and not self._is_idempotent(client):
             return None
         for workers in groups:
             worker = self._loads.choose(workers, progress.tried)
@@ -230,7 +228,7 @@
                 return worker
         return None
 
-    def _may_repeat(self, client: ClientRequest) -> bool:
+    def _is_idempotent(self, client: ClientRequest) -> bool:
         return client.route.kind is RouteKind.IDEMPOTENT
 
     def _attempt(
@@ -245,7 +243,7 @@
         progress.sends += 1
         began_s = self._now_s()
         left_s = client.left_s()
-        timeout_s = self._patience_s(client, worker, progress, left_s)
+        timeout_s = self._attempt_timeout_s(client, worker, progress, left_s)
         try:
             outcome = self._connections.call(
                 worker, client.call(), timeout_s, left_s * MS_PER_S, cancellation
@@ -256,33 +254,33 @@
             raise
         seconds = self._now_s() - began_s
         is_cancelled = cancellation.cancelled.is_set()
-        is_timed_out = seconds >= LATE_SHARE * timeout_s
-        self._note(client, worker, outcome, progress, seconds, is_timed_out, is_cancelled)
+        is_timed_out = seconds >= TIMED_OUT_SHARE * timeout_s
+        self._record_attempt(client, worker, outcome, progress, seconds, is_timed_out, is_cancelled)
         return outcome
 
-    def _patience_s(
+    def _attempt_timeout_s(
         self, client: ClientRequest, worker: Worker, progress: Progress, left_s: float
     ) -> float:
-        """Time for an attempt; all that is left when there is no other to be made."""
+        """Return the timeout of an attempt; all the time left if no retry is possible."""
         attempts_left = client.route.max_attempts - len(progress.ran_at)
-        if not self._may_repeat(client) or attempts_left <= 1 or not client.may_be_sent_again:
+        if not self._is_idempotent(client) or attempts_left <= 1 or not client.may_be_sent_again:
             return left_s
         service = worker.entry.service
         if not self._loads.may_try_again(service):
             return left_s
-        slow_s = self._loads.fellows_slow_s(service) if self._patience_of_fellows else 0.0
+        p95_s = self._loads.fellows_slow_s(service) if self._uses_service_latency else 0.0
         target_s = client.route.target_ms / MS_PER_S
-        if slow_s:
-            fellows_s = PATIENCE_OF_SLOW * slow_s
-            if self._loads.fellows_usual_s(service) <= (1 - PATIENCE_OF_TARGET) * target_s:
-                # Later no second try would be in time, and now one most likely is.
-                fellows_s = min(fellows_s, PATIENCE_OF_TARGET * target_s)
-            own_s = PATIENCE_OF_OWN * self._loads.own_usual_s()
-            return min(left_s, max(SHORTEST_PATIENCE_S, fellows_s, own_s))
-        usual_s = PATIENCE_OF_MEAN * self._loads.mean_s(worker.incarnation)
-        return min(left_s, max(PATIENCE_OF_TARGET * target_s, usual_s))
-
-    def _note(
+        if p95_s:
+            service_timeout_s = P95_TIMEOUT_FACTOR * p95_s
+            if self._loads.fellows_usual_s(service) <= (1 - TARGET_TIMEOUT_SHARE) * target_s:
+                # A retry after this point would likely miss the target, one before it meets it.
+                service_timeout_s = min(service_timeout_s, TARGET_TIMEOUT_SHARE * target_s)
+            local_timeout_s = LOCAL_MEAN_TIMEOUT_FACTOR * self._loads.local_mean_s()
+            return min(left_s, max(MIN_ATTEMPT_TIMEOUT_S, service_timeout_s, local_timeout_s))
+        mean_timeout_s = MEAN_TIMEOUT_FACTOR * self._loads.mean_s(worker.incarnation)
+        return min(left_s, max(TARGET_TIMEOUT_SHARE * target_s, mean_timeout_s))
+
+    def _record_attempt(
         self,
         client: ClientRequest,
         worker: Worker,
@@ -296,7 +294,7 @@
         self._metrics.attempt_ended(worker.entry.service, outcome.state.value, seconds)
         if outcome.state in (AttemptState.ANSWERED, AttemptState.UNKNOWN):
             if not progress.may_have_run:
-                self.note_begun(client, self._now_s() - seconds)
+                self.count_usage(client, self._now_s() - seconds)
             progress.ran_at.add(incarnation)
             progress.may_have_run = True
         answer = outcome.answer
@@ -316,12 +314,12 @@
         )
         progress.cause = failed.record(self._loads)
 
-    def note_begun(self, client: ClientRequest, at_s: float) -> None:
-        """Count a request among its tenant's use, once, from the first run that may have begun."""
+    def count_usage(self, client: ClientRequest, at_s: float) -> None:
+        """Count a request towards its tenant's usage; called once, after the first possible run."""
         if self._usage is not None:
             self._usage.record_start(client.tenant, at_s)
 
-    def _own_answer(
+    def _error_response(
         self, client: ClientRequest, progress: Progress, groups: list[list[Worker]]
     ) -> Response:
         if not progress.may_have_run:
@@ -329,7 +327,7 @@
             return gateway_response(503, progress.cause, after_s)
         return gateway_response(504 if client.left_s() <= 0 else 502, progress.cause)
 
-    def _account(
+    def _record_outcome(
         self, client: ClientRequest, table: RouteTable, response: Response, progress: Progress
     ) -> None:
         seconds = self._now_s() - client.arrived_s
@@ -343,7 +341,7 @@
             "status": response.status,
             "attempts": progress.sends,
             "ms": round(1000 * seconds),
-            "workers_age_ms": round(1000 * min(self._workers_age_s(), LONGEST_AGE_S)),
+            "workers_age_ms": round(1000 * min(self._workers_age_s(), MAX_LOGGED_AGE_S)),
         }
         if answered:
             emit(
@@ -354,23 +352,23 @@
             emit(REQUEST_GIVEN_UP, cause=progress.cause, ready=ready, **fields)
 
 
-def _line_of(client: ClientRequest) -> str:
-    """The service whose room a gated request waits for: the only one of its route."""
+def _queue_of(client: ClientRequest) -> str:
+    """Return the gate's queue for a request: the only service of its route."""
     return client.route.parts[0].service
 
 
-def fixed_retry_after_s(cause: str) -> float:
-    """Seconds after which a client is to come back where nothing better is known."""
+def default_retry_after_s(cause: str) -> float:
+    """Return the Retry-After in seconds if the gate has no estimate."""
     return RETRY_AFTER_FULL_S if cause in FULL_CAUSES else RETRY_AFTER_NO_WORKER_S
 
 
 def gateway_response(status: int, cause: str, retry_after_s: float | None = None) -> Response:
-    """An answer of this service's own."""
+    """Return a response generated by the gateway itself, with the cause as error code."""
     headers = [("Content-Type", "application/json")]
     if retry_after_s is not None:
         headers.append(("Retry-After", f"{retry_after_s:g}"))
     return Response(status, headers, b'{"error":"%s"}' % cause.encode())
 
 
-def _passed_on(answer: BufferedResponse) -> Response:
+def _to_response(answer: BufferedResponse) -> Response:
     return Response(answer.status, list(answer.headers), answer.body)
--- a/src/bellweir/hosted/serving/metrics.py
+++ b/src/bellweir/hosted/serving/metrics.py
@@ -15,7 +15,7 @@
 
 
 class RequestMetrics:
-    """Figures of one process. Safe for threads."""
+    """Prometheus metrics of one process. Thread-safe."""
 
     def __init__(self) -> None:
         self._registry = CollectorRegistry()
@@ -35,30 +35,30 @@
         )
 
     def request_ended(self, route: str, status: int, seconds: float) -> None:
-        """Count a client's request."""
+        """Record a completed client request."""
         self._requests.labels(route, str(status)).observe(seconds)
 
     def attempt_ended(self, service: str, outcome: str, seconds: float) -> None:
-        """Count an attempt at a worker."""
+        """Record a completed attempt at a worker."""
         self._attempts.labels(service, outcome).observe(seconds)
 
     def add_counter(self, name: str, meaning: str, label: str) -> Callable[[str], None]:
-        """Add a counter with one label; what is returned counts one more of a value of it."""
+        """Add a counter with one label; the returned function increments it for a label value."""
         counter = Counter(name, meaning, (label,), registry=self._registry)
         return lambda value: counter.labels(value).inc()
 
     def add_gauge(self, name: str, meaning: str, read: Callable[[], float]) -> None:
-        """Add a gauge, read when the figures are asked for."""
+        """Add a gauge that is read on each scrape."""
         Gauge(name, meaning, registry=self._registry).set_function(read)
 
     def add_gauges(
         self, name: str, meaning: str, label: str, read: Callable[[], dict[str, float]]
     ) -> None:
-        """Add a gauge with one label, all values of which are read when they are asked for."""
+        """Add a gauge with one label, all values of which are read on each scrape."""
         self._registry.register(_Gauges(name, meaning, label, read))
 
     def add_wait_histogram(self) -> Callable[[str, float], None]:
-        """Add the waits for room; what is returned takes a service and seconds."""
+        """Add the histogram of queue waits; the returned function takes a service and seconds."""
         waits = Histogram(
             "bellweir_queue_wait_seconds",
             "Time for which a request waited for room, by service.",
@@ -69,20 +69,20 @@
         return lambda service, seconds: waits.labels(service).observe(seconds)
 
     def add_store_calls(self, counts: StoreCallCounts) -> None:
-        """Show the calls to the platform's store."""
+        """Export the counts of calls to the platform's store."""
         self._registry.register(_StoreCalls(counts))
 
     def add_unreadable_entries(self, entries: UnreadableEntries) -> None:
-        """Show the entries of the platform's store that could not be used."""
+        """Export the counts of unreadable entries of the platform's store."""
         self._registry.register(_Unreadable(entries))
 
     def render(self) -> bytes:
-        """All figures as text."""
+        """Return all metrics in Prometheus text format."""
         return generate_latest(self._registry)
 
 
 class _Gauges(Collector):
-    """Reads a gauge of several values when the figures are asked for."""
+    """Collector of a gauge with one label."""
 
     def __init__(
         self, name: str, meaning: str, label: str, read: Callable[[], dict[str, float]]
@@ -91,12 +91,12 @@
         self._read = read
 
     def describe(self) -> Iterator[GaugeMetricFamily]:
-        """The family without its values, which may not be there to be read yet."""
+        """Yield the family without samples, since `read` may not be callable at registration."""
         name, meaning, label = self._about
         yield GaugeMetricFamily(name, meaning, labels=(label,))
 
     def collect(self) -> Iterator[GaugeMetricFamily]:
-        """One family, one sample for each value of the label."""
+        """Yield one family with one sample per label value."""
         for family in self.describe():
             for value, number in self._read().items():
                 family.add_metric((value,), number)
@@ -104,13 +104,13 @@
 
 
 class _StoreCalls(Collector):
-    """Reads the counts when the figures are asked for."""
+    """Collector of the store call counts."""
 
     def __init__(self, counts: StoreCallCounts) -> None:
         self._counts = counts
 
     def collect(self) -> Iterator[CounterMetricFamily]:
-        """One family, one sample for each kind, sort and outcome."""
+        """Yield one family with one sample per kind, call and outcome."""
         family = CounterMetricFamily(
             "bellweir_store_calls",
             "Calls to the platform's store, by kind of object, sort of call and outcome.",
@@ -122,13 +122,13 @@
 
 
 class _Unreadable(Collector):
-    """Reads the counts when the figures are asked for."""
+    """Collector of the unreadable entry counts."""
 
     def __init__(self, entries: UnreadableEntries) -> None:
         self._entries = entries
 
     def collect(self) -> Iterator[CounterMetricFamily]:
-        """One family, one sample for each kind of which an entry could not be used."""
+        """Yield one family with one sample per kind that has unreadable entries."""
         family = CounterMetricFamily(
             "bellweir_entries_unreadable",
             "Revisions of entries of the platform's store that could not be used, by kind.",
--- a/src/bellweir/hosted/serving/selection.py
+++ b/src/bellweir/hosted/serving/selection.py
@@ -1,9 +1,9 @@
-"""Chooses the worker for an attempt from what this process has seen of each.
+"""Selects the worker for each attempt.
 
-Loads are this process's own requests in hand; a worker that refused or failed lately is passed
-over for a while, as long as there is another one. Where gateways share their sight, the requests
-and times of all of them count, as far as others spoke of a worker; a worker that is set aside gets
-trials only, unless all are; and further tries of a request stay within the service's budget.
+Workers are ranked by requests in flight and latency as seen by this process; one that refused or
+failed recently is penalized and chosen only if there is no other. With statistics shared between
+gateways, the requests and latencies seen by all of them count, ejected workers get only probes
+unless all are ejected, and retries stay within the service's retry budget.
 """
 
 import random
@@ -17,37 +17,37 @@
 from bellweir.hosted.views.workers import Worker
 
 REFUSAL_PENALTY_S = 0.15
-"""Time for which a worker that said it is full is passed over."""
+"""Penalty of a worker that refused a request or responded with an error."""
 FAILURE_PENALTY_S = 0.5
-"""The same for one that gave no usable answer; doubled with each failure in a row."""
-LONGEST_PENALTY_S = 4.0
-MOST_DOUBLINGS = 8
-CROWDING = 0.25
-"""Share by which a worker that batches is taken to be slower with all of its slots in use."""
-NOTICED_S = 0.05
-"""Callers don't notice that an answer comes later by less."""
-CHOICES_BY_TIME = 32
-"""Of so many choices one leaves the workers' times aside and goes by load alone."""
-SHORTEST_HALF_S = 0.05
-"""Shortest time in which half of what a worker said it has is taken to have ended."""
+"""Penalty of a worker without a usable response; doubled for each consecutive failure."""
+MAX_PENALTY_S = 4.0
+MAX_DOUBLINGS = 8
+BATCHING_SLOWDOWN = 0.25
+"""Relative slowdown assumed for a batching worker with all slots in use."""
+LATENCY_TOLERANCE_S = 0.05
+"""Workers whose expected latency differs by less are considered equal."""
+LOAD_ONLY_INTERVAL = 32
+"""One in this many choices is made among all workers, so that recovered ones are noticed."""
+MIN_HALF_LIFE_S = 0.05
+"""Minimum half-life of the load reported by a worker."""
 SMOOTHING = 0.2
-"""Weight of the newest answer's time in the mean."""
+"""Weight of the newest sample in the exponential moving average."""
 
 
 @dataclass
-class Load:
-    """What this process knows of one worker."""
+class LocalWorkerStats:
+    """Statistics of one worker from this process's own requests."""
 
     in_flight: int = 0
     failures: int = 0
-    """Failures in a row."""
+    """Consecutive failures."""
     penalized_until_s: float = 0.0
     mean_s: float = 0.0
-    """Smoothed time of its answers; 0 before the first."""
+    """Moving average of its latency; 0 before the first response."""
 
 
 class WorkerLoads:
-    """Loads by incarnation. Safe for threads."""
+    """Load statistics by incarnation, and selection of workers by them. Thread-safe."""
 
     def __init__(
         self,
@@ -55,22 +55,23 @@
         has_connection: Callable[[str], bool] = lambda _address: False,
         sight: Sight | None = None,
         *,
-        chooses_by_all: bool = True,
-        choices_made: int = 0,
+        uses_shared_stats: bool = True,
+        choice_count: int = 0,
     ) -> None:
-        """`has_connection` tells whether a connection to `host:port` is open and free.
+        """`has_connection` returns whether an idle connection to `host:port` is open.
 
-        `sight` is told of each request; `chooses_by_all`: the choice uses others' requests.
-        With different `choices_made` gateways don't all go by load alone at the same time.
+        `sight` is notified of each request; `uses_shared_stats`: rank by the requests of all
+        gateways. Different initial values of `choice_count` keep gateways from making their
+        choices by load alone at the same time.
         """
-        self._choices_made = choices_made
+        self._choice_count = choice_count
         self._sight = sight
-        self._chooses_by_all = chooses_by_all
-        self._own_usual_s = 0.0
+        self._uses_shared_stats = uses_shared_stats
+        self._local_mean_s = 0.0
         self._own_zone = own_zone
         self._has_connection = has_connection
         self._lock = threading.Lock()
-        self._loads: dict[Incarnation, Load] = {}
+        self._loads: dict[Incarnation, LocalWorkerStats] = {}
 
     def choose(
         self,
@@ -78,26 +79,26 @@
         tried: Collection[Incarnation],
         pace_of: Callable[[Incarnation], float] | None = None,
         *,
-        is_bounded: bool = True,
+        is_budgeted: bool = True,
     ) -> Worker | None:
-        """Take a place at the best worker not tried yet.
+        """Acquire and return the best worker not tried yet.
 
-        With `pace_of` (seconds for one step of the work, by incarnation) the fastest worker is the
-        best one; without it the one whose answer is expected soonest.
+        With `pace_of` (seconds per step of the work, by incarnation) the fastest worker is the
+        best; otherwise the one with the lowest expected latency.
 
-        After a first try None also when no worker in good standing is left, or when the budget of
-        further tries is spent, by which all but streams in the making are `is_bounded`.
+        For a retry (`tried` not empty) the result is also None if all remaining workers are
+        ejected or, with `is_budgeted`, if the retry budget is spent.
         """
         now_s = time.monotonic()
         candidates = [worker for worker in workers if worker.incarnation not in tried]
         if self._sight is not None:
-            candidates = _admitted(candidates, tried, self._sight, is_bounded=is_bounded)
+            candidates = _eligible(candidates, tried, self._sight, is_budgeted=is_budgeted)
         if not candidates:
             return None
         with self._lock:
-            self._choices_made += 1
+            self._choice_count += 1
             if pace_of is None:
-                candidates = self._soon(candidates, now_s)
+                candidates = self._fastest(candidates, now_s)
             chosen = min(candidates, key=lambda worker: self._rank(worker, now_s, pace_of))
             self._load(chosen.incarnation).in_flight += 1
         if self._sight is not None:
@@ -106,53 +107,53 @@
         return chosen
 
     def acquire(self, worker: Worker) -> None:
-        """Take a place at a given worker."""
+        """Count a request in flight at a given worker."""
         with self._lock:
             self._load(worker.incarnation).in_flight += 1
         if self._sight is not None:
             self._sight.begun(worker.entry.service, worker.incarnation)
 
     def in_flight(self, worker: Incarnation) -> int:
-        """Requests of this process at a worker."""
+        """Return the number of this process's requests in flight at a worker."""
         with self._lock:
             return self._load(worker).in_flight
 
     def is_penalized(self, worker: Incarnation) -> bool:
-        """Whether a worker refused or failed lately."""
+        """Return whether a worker refused or failed recently."""
         with self._lock:
             return self._load(worker).penalized_until_s > time.monotonic()
 
     def record_success(self, worker: Incarnation, seconds: float) -> None:
-        """Release a place after a usable answer that took `seconds`."""
+        """End a request after a usable response that took `seconds`."""
         with self._lock:
             load = self._decrement(worker)
             load.failures = 0
             first = load.mean_s == 0.0
             load.mean_s = seconds if first else load.mean_s + SMOOTHING * (seconds - load.mean_s)
-            self._note_own_time(seconds)
-        self._tell(worker, SeenOutcome.SERVED, seconds)
+            self._update_local_mean(seconds)
+        self._report(worker, SeenOutcome.SERVED, seconds)
 
     def record_refusal(self, worker: Incarnation) -> None:
-        """Release a place after a worker said that it did not run the request."""
+        """End a request that the worker refused to run."""
         self._release_with_penalty(worker, REFUSAL_PENALTY_S, failed=False)
-        self._tell(worker, SeenOutcome.REFUSED)
+        self._report(worker, SeenOutcome.REFUSED)
 
     def record_error_response(self, worker: Incarnation) -> None:
-        """Release a place after a worker's answer that is a failure of its own."""
+        """End a request after an error response of the worker."""
         self._release_with_penalty(worker, REFUSAL_PENALTY_S, failed=False)
-        self._tell(worker, SeenOutcome.FAILED)
+        self._report(worker, SeenOutcome.FAILED)
 
     def record_failure(self, worker: Incarnation) -> None:
-        """Release a place after no usable answer."""
+        """End a request without a usable response."""
         self._release_with_penalty(worker, FAILURE_PENALTY_S, failed=True)
-        self._tell(worker, SeenOutcome.FAILED)
+        self._report(worker, SeenOutcome.FAILED)
 
     def record_timeout(self, worker: Incarnation, seconds: float) -> None:
-        """Release a place after a try that was given up since it took `seconds` or more."""
+        """End a request that timed out after `seconds`."""
         self._release_with_penalty(worker, FAILURE_PENALTY_S, failed=True)
         with self._lock:
-            self._note_own_time(seconds)
-        self._tell(worker, SeenOutcome.LATE, seconds)
+            self._update_local_mean(seconds)
+        self._report(worker, SeenOutcome.LATE, seconds)
 
     def release(
         self,
@@ -160,34 +161,34 @@
         outcome: SeenOutcome = SeenOutcome.UNKNOWN,
         seconds: float = 0.0,
     ) -> None:
-        """Release a place without a verdict on the worker here; others are told the outcome."""
+        """End a request without changing the local statistics; other gateways learn the outcome."""
         with self._lock:
             self._decrement(worker)
-        self._tell(worker, outcome, seconds)
+        self._report(worker, outcome, seconds)
 
-    def own_usual_s(self) -> float:
-        """Smoothed time of all answers here, those given up included; 0 before the first."""
-        return self._own_usual_s
+    def local_mean_s(self) -> float:
+        """Return the moving average latency over all workers, timeouts included; 0 at first."""
+        return self._local_mean_s
 
     def may_try_again(self, service: str) -> bool:
-        """Whether a further try at a service's workers is within its budget."""
+        """Return whether the retry budget of a service allows another retry."""
         return self._sight is None or self._sight.may_try_again(service)
 
     def fellows_slow_s(self, service: str) -> float:
-        """The 95th percentile of a service's sound workers in seconds; 0 while unknown."""
+        """Return the 95th percentile latency of a service's healthy workers; 0 while unknown."""
         return 0.0 if self._sight is None else self._sight.fellows_slow_s(service)
 
     def fellows_usual_s(self, service: str) -> float:
-        """The median time of a service's sound workers in seconds; 0 while unknown."""
+        """Return the median latency of a service's healthy workers; 0 while unknown."""
         return 0.0 if self._sight is None else self._sight.fellows_usual_s(service)
 
     def mean_s(self, worker: Incarnation) -> float:
-        """Smoothed time of a worker's answers."""
+        """Return the moving average latency of a worker."""
         with self._lock:
             return self._load(worker).mean_s
 
-    def forget_others(self, incarnations: Collection[Incarnation]) -> None:
-        """Drop what is known of workers that are gone and hold nothing of ours."""
+    def retain(self, incarnations: Collection[Incarnation]) -> None:
+        """Drop the statistics of other workers that have no requests in flight."""
         with self._lock:
             gone = [
                 one
@@ -201,109 +202,110 @@
         with self._lock:
             load = self._decrement(worker)
             if failed:
-                penalty_s = min(
-                    LONGEST_PENALTY_S, penalty_s * 2 ** min(load.failures, MOST_DOUBLINGS)
-                )
+                penalty_s = min(MAX_PENALTY_S, penalty_s * 2 ** min(load.failures, MAX_DOUBLINGS))
                 load.failures += 1
             load.penalized_until_s = time.monotonic() + penalty_s
 
-    def _tell(self, worker: Incarnation, outcome: SeenOutcome, seconds: float = 0.0) -> None:
+    def _report(self, worker: Incarnation, outcome: SeenOutcome, seconds: float = 0.0) -> None:
         if self._sight is not None:
             self._sight.ended(worker, outcome, seconds)
 
-    def _note_own_time(self, seconds: float) -> None:
-        before_s = self._own_usual_s
-        self._own_usual_s = seconds if not before_s else before_s + SMOOTHING * (seconds - before_s)
+    def _update_local_mean(self, seconds: float) -> None:
+        mean_s = self._local_mean_s
+        self._local_mean_s = seconds if not mean_s else mean_s + SMOOTHING * (seconds - mean_s)
 
-    def _decrement(self, worker: Incarnation) -> Load:
+    def _decrement(self, worker: Incarnation) -> LocalWorkerStats:
         load = self._load(worker)
         load.in_flight = max(0, load.in_flight - 1)
         return load
 
-    def _load(self, worker: Incarnation) -> Load:
-        return self._loads.setdefault(worker, Load())
+    def _load(self, worker: Incarnation) -> LocalWorkerStats:
+        return self._loads.setdefault(worker, LocalWorkerStats())
 
     def _rank(
         self, worker: Worker, now_s: float, pace_of: Callable[[Incarnation], float] | None
     ) -> tuple[bool, float, bool, bool, float]:
         load = self._load(worker.incarnation)
         is_penalized = load.penalized_until_s > now_s
-        in_flight, usual_s, slots = self._load_of_all(worker, load)
+        in_flight, typical_s, slots = self._combined_load(worker, load)
         share = (in_flight + 1) / max(1, slots)
         if pace_of is not None:
-            pace_s = pace_of(worker.incarnation) * (1 + CROWDING * share)
+            pace_s = pace_of(worker.incarnation) * (1 + BATCHING_SLOWDOWN * share)
             return is_penalized, round(pace_s, 4), False, False, random.random()
-        expected_s = share * max(usual_s, 0.001)
+        expected_s = share * max(typical_s, 0.001)
         other_zone = worker.entry.zone != self._own_zone
         must_connect = not self._has_connection(worker.address)
         return is_penalized, round(expected_s, 2), must_connect, other_zone, random.random()
 
-    def _soon(self, workers: list[Worker], now_s: float) -> list[Worker]:
-        """The workers whose answers are expected about as soon as the soonest one's.
+    def _fastest(self, workers: list[Worker], now_s: float) -> list[Worker]:
+        """Return the workers whose expected latency is close to the lowest one.
 
-        Up to its slots a worker answers in its usual time however many it has. A choice by load
-        alone would send a slow one with free slots its part of the requests, each of them late.
-        Now and then load alone counts all the same, so that a worker that is slow no more is seen.
+        A worker's latency is independent of its load until its slots are full, so a choice by load
+        alone would keep sending requests to a slow worker with free slots. Every
+        `LOAD_ONLY_INTERVAL` choices all workers are returned, so that one that has recovered is
+        noticed.
         """
-        by_load = self._choices_made % CHOICES_BY_TIME == 0
-        if self._sight is None or not self._chooses_by_all or by_load:
+        by_load = self._choice_count % LOAD_ONLY_INTERVAL == 0
+        if self._sight is None or not self._uses_shared_stats or by_load:
             return workers
-        well = [one for one in workers if self._load(one.incarnation).penalized_until_s <= now_s]
-        if any(self._sight.seen(one.incarnation).age_s == float("inf") for one in well):
-            # Nothing says when one of them answers: it would get all requests, or none.
+        healthy = [one for one in workers if self._load(one.incarnation).penalized_until_s <= now_s]
+        if any(self._sight.seen(one.incarnation).age_s == float("inf") for one in healthy):
+            # A worker of unknown latency would get either all requests or none.
             return workers
-        answers = [(self._answer_s(one), one) for one in well or workers]
-        soonest_s = min(answer_s for answer_s, _ in answers)
-        return [one for answer_s, one in answers if answer_s < soonest_s + NOTICED_S]
-
-    def _answer_s(self, worker: Worker) -> float:
-        """Time to a worker's answer, as all gateways tell."""
-        in_flight, usual_s, slots = self._load_of_all(worker, self._load(worker.incarnation))
-        return usual_s * max(1.0, (in_flight + 1) / max(1, slots))
-
-    def _load_of_all(self, worker: Worker, load: Load) -> tuple[float, float, int]:
-        """Requests at a worker, its usual time and its slots, as all gateways and itself tell."""
-        in_flight, usual_s, slots = float(load.in_flight), load.mean_s, worker.entry.slots
+        expected_times = [(self._expected_response_s(one), one) for one in healthy or workers]
+        lowest_s = min(expected_s for expected_s, _ in expected_times)
+        return [
+            one for expected_s, one in expected_times if expected_s < lowest_s + LATENCY_TOLERANCE_S
+        ]
+
+    def _expected_response_s(self, worker: Worker) -> float:
+        """Return the expected latency of a worker by the combined statistics."""
+        in_flight, typical_s, slots = self._combined_load(worker, self._load(worker.incarnation))
+        return typical_s * max(1.0, (in_flight + 1) / max(1, slots))
+
+    def _combined_load(self, worker: Worker, load: LocalWorkerStats) -> tuple[float, float, int]:
+        """Return requests in flight, latency and slots by local, shared and self-reported load."""
+        in_flight, typical_s, slots = float(load.in_flight), load.mean_s, worker.entry.slots
         if self._sight is None:
-            return in_flight, usual_s, slots
+            return in_flight, typical_s, slots
         seen = self._sight.seen(worker.incarnation)
-        if self._chooses_by_all and seen.age_s != float("inf"):
+        if self._uses_shared_stats and seen.age_s != float("inf"):
             in_flight = max(in_flight, seen.in_hand)
-            usual_s = seen.usual_s or usual_s
+            typical_s = seen.usual_s or typical_s
         if seen.load is not None:
-            half_s = max(SHORTEST_HALF_S, usual_s)
-            told = seen.load.requests * float(0.5 ** (seen.load_age_s / half_s))
-            in_flight = max(in_flight, told)
-            usual_s *= seen.load.slowness(seen.load_age_s)
+            half_life_s = max(MIN_HALF_LIFE_S, typical_s)
+            reported = seen.load.requests * float(0.5 ** (seen.load_age_s / half_life_s))
+            in_flight = max(in_flight, reported)
+            typical_s *= seen.load.slowness(seen.load_age_s)
             slots = seen.load.slots or slots
-        return in_flight, usual_s, slots
+        return in_flight, typical_s, slots
 
 
-def _admitted(
+def _eligible(
     candidates: list[Worker],
     tried: Collection[Incarnation],
     sight: Sight,
     *,
-    is_bounded: bool,
+    is_budgeted: bool,
 ) -> list[Worker]:
-    """The workers that may get a request's next try.
+    """Return the workers that may get a request's next attempt.
 
-    A first try is a trial where one is due, and may go to a worker that is set aside when all are.
-    A further one does neither: it would go from one failure to the next.
+    A first attempt probes an ejected worker if a probe is due, and may go to an ejected worker if
+    all are ejected. A retry does neither, since it would likely fail again.
     """
-    well = [one for one in candidates if not sight.seen(one.incarnation).is_set_aside]
+    healthy = [one for one in candidates if not sight.seen(one.incarnation).is_set_aside]
     if tried:
-        return _within_budget(well, sight) if is_bounded else well
-    if len(well) < len(candidates):
-        on_trial = (one for one in candidates if sight.may_try(one.incarnation))
-        trial = next(on_trial, None)
-        if trial is not None:
-            return [trial]
-    return well or candidates
+        return _within_budget(healthy, sight) if is_budgeted else healthy
+    if len(healthy) < len(candidates):
+        probe_candidates = (one for one in candidates if sight.may_try(one.incarnation))
+        probe = next(probe_candidates, None)
+        if probe is not None:
+            return [probe]
+    return healthy or candidates
 
 
 def _within_budget(candidates: list[Worker], sight: Sight) -> list[Worker]:
-    """None of a service whose further tries have used up their share."""
+    """Drop the workers of services whose retry budget is spent."""
     allowed = {}
     for service in {one.entry.service for one in candidates}:
         allowed[service] = sight.may_try_again(service)
@@ -317,10 +319,10 @@
 
 
 class WeightedRoundRobin:
-    """Shares requests of a route among its services by weight, evenly over short times.
+    """Distributes the requests of a route over its services by weight.
 
-    Smooth weighted round robin: each service's credit grows by its weight with each request, and
-    the one with most credit is chosen and pays the sum of all weights.
+    Smooth weighted round robin as in nginx: with each request every service's credit grows by its
+    weight; the service with the most credit is chosen and pays the sum of all weights.
     """
 
     def __init__(self) -> None:
@@ -328,17 +330,17 @@
         self._credits: dict[tuple[object, ...], dict[str, float]] = {}
 
     def order(self, parts: Parts, key: tuple[object, ...]) -> list[str]:
-        """The services of a route in the order in which to try them for one request.
+        """Return the services in the order to try them, and charge the first one.
 
-        `key` names the route and its configuration; parts without weight get no request while
-        another one has a worker. The first service is charged for the request.
+        `key` identifies the route and its configuration. Services of weight 0 are left out unless
+        all weights are 0.
         """
         ordered = self.peek(parts, key)
         self.charge(parts, key, ordered[0])
         return ordered
 
     def peek(self, parts: Parts, key: tuple[object, ...]) -> list[str]:
-        """The same order, with nobody charged: the request may still have to wait."""
+        """Return the order without charging a service, for a request that may have to wait."""
         if len(parts) == 1:
             return [parts[0][0]]
         with self._lock:
@@ -349,7 +351,7 @@
         return [chosen, *(service for service, _ in others)]
 
     def charge(self, parts: Parts, key: tuple[object, ...], chosen: str) -> None:
-        """Count a request that goes to a service of a route."""
+        """Charge a service for a request sent to it."""
         if len(parts) == 1:
             return
         with self._lock:
@@ -359,15 +361,15 @@
             credits[chosen] -= sum(weight for _, weight in parts)
 
     def _credits_of(self, parts: Parts, key: tuple[object, ...]) -> dict[str, float]:
-        if len(self._credits) > MAXIMUM_ROUTES:
+        if len(self._credits) > MAX_ROUTES:
             self._credits.clear()
         return self._credits.setdefault(key, _random_start(parts))
 
 
-MAXIMUM_ROUTES = 4_096
+MAX_ROUTES = 4_096
 
 
 def _random_start(parts: Parts) -> dict[str, float]:
-    """Different credits in each process, so that all together share evenly from the start."""
+    """Random initial credits, so that processes started together do not choose in step."""
     total = sum(weight for _, weight in parts)
     return {service: random.uniform(0.0, total) for service, _ in parts}
--- a/src/bellweir/hosted/serving/service.py
+++ b/src/bellweir/hosted/serving/service.py
@@ -1,4 +1,4 @@
-"""Service `front`: the gateway's listeners, its planned stop and its figures."""
+"""Service `front`: the gateway's listeners, graceful shutdown and metrics."""
 
 import random
 import threading
@@ -18,7 +18,7 @@
 from bellweir.hosted.serving.attempt import WorkerConnections
 from bellweir.hosted.serving.directory import TTL_S, Directory
 from bellweir.hosted.serving.forwarding import Forwarder
-from bellweir.hosted.serving.selection import CHOICES_BY_TIME, WorkerLoads
+from bellweir.hosted.serving.selection import LOAD_ONLY_INTERVAL, WorkerLoads
 from bellweir.hosted.serving.simple_application import SimpleApplication
 from bellweir.hosted.serving.streams import StreamForwarder
 from bellweir.hosted.settings import HostedSettings, TenantSettings
@@ -40,25 +40,25 @@
 from bellweir.membership.interface import Membership
 
 REQUEST_THREADS = 192
-SIDE_THREADS = 4
-MAXIMUM_BODY_BYTES = 32 << 20
-"""Before a configuration says something else."""
-DRAIN_LOOK_S = 0.05
-ADDRESS_LIFE_FACTOR = 3.5
-"""Clients keep an address at most three times the directory's time to live."""
+AUXILIARY_THREADS = 4
+DEFAULT_MAX_BODY_BYTES = 32 << 20
+"""Limit until the first configuration is read."""
+DRAIN_POLL_INTERVAL_S = 0.05
+ADDRESS_TTL_FACTOR = 3.5
+"""Clients cache addresses for up to three times the directory's TTL."""
 STOP_MARGIN_S = 1.0
-"""Time kept before the end of the grace period."""
-TIDY_PERIOD_S = 2.0
+"""Reserve before the end of the grace period."""
+PRUNE_INTERVAL_S = 2.0
 IDLE_MARGIN_S = 1.0
 
 
-def maximum_key_age_s(tenants: TenantSettings) -> float:
-    """Age of the configuration up to which the keys that it has are accepted."""
+def max_key_age_s(tenants: TenantSettings) -> float:
+    """Return the configuration age up to which its keys are accepted."""
     return tenants.revoke_ms / 1000 if tenants.strict_revoke else float("inf")
 
 
 class FrontService(Service):
-    """Serves clients: requests, directory and readiness, each on its own address."""
+    """Serves requests, the directory and readiness checks, each on its own address."""
 
     name = names.FRONT
     dependencies = (
@@ -82,7 +82,7 @@
         self._draining = threading.Event()
 
     def start(self) -> None:
-        """Listen on every address that the settings give."""
+        """Start listening on all configured addresses."""
         registry = self._kernel.registry
         self._views = registry.find(names.VIEWS, ViewsService)
         sight = registry.find(names.SIGHT, SightService).sight
@@ -91,8 +91,8 @@
             self._settings.node.zone,
             self._connections.has_idle,
             sight,
-            chooses_by_all=self._settings.sight.choose_by_all,
-            choices_made=random.randrange(CHOICES_BY_TIME),
+            uses_shared_stats=self._settings.sight.choose_by_all,
+            choice_count=random.randrange(LOAD_ONLY_INTERVAL),
         )
         self._views.workers.subscribe_addresses(self._connections.renew)
         membership = registry.find(names.MEMBERSHIP, Membership)  # type: ignore[type-abstract]
@@ -107,7 +107,7 @@
         table = self._views.configuration.table()
         if table is not None:
             self._apply_limits(table)
-        self._kernel.executors.run_task("front-tidy", self._tidy)
+        self._kernel.executors.run_task("front-tidy", self._prune)
 
     def _request_application(self, sight: Sight) -> RequestApplication:
         ledger = self._kernel.registry.find(names.LEDGER, Ledger)  # type: ignore[type-abstract]
@@ -149,7 +149,7 @@
             metrics,
             self._views.workers_follower.age_s,
             usage=self._kernel.registry.find(names.USAGE_COUNTS, UsageCountsService).counter,
-            patience_of_fellows=self._settings.sight.patience_of_fellows,
+            uses_service_latency=self._settings.sight.patience_of_fellows,
             gate=gate,
             wait_share=self._settings.room.wait_share,
         )
@@ -179,13 +179,13 @@
                     "Requests without a key that the configuration in force has, by verdict.",
                     "verdict",
                 ),
-                maximum_key_age_s(self._settings.tenants),
+                max_key_age_s(self._settings.tenants),
             ),
             sends_urgency=self._settings.room.send_urgency,
         )
 
     def _slots_taken(self) -> dict[str, float]:
-        """Share of slots taken by service, as far as this gateway knows."""
+        """Return the fraction of slots in use by service, as known to this gateway."""
         table = self._views.configuration.table()
         services = table.services if table is not None else ()
         workers = self._views.workers
@@ -193,14 +193,14 @@
 
     def _serve_at(self, address: str | None, application: WsgiApplication) -> None:
         if address is not None:
-            self._serve(application, bind_address(address), threads=SIDE_THREADS)
+            self._serve(application, bind_address(address), threads=AUXILIARY_THREADS)
 
     def _serve(
         self, application: Any, listener: Any, threads: int = REQUEST_THREADS
     ) -> HttpServer | None:
         if listener is None:
             return None
-        limits = ServerLimits(threads, MAXIMUM_BODY_BYTES)
+        limits = ServerLimits(threads, DEFAULT_MAX_BODY_BYTES)
         server = HttpServer(application, listener, limits)
         self._servers.append(server)
         run = self._kernel.executors.run_task("http", server.run_until_closed)
@@ -216,7 +216,7 @@
         return json_response(503, {"ready": False})
 
     def _apply_limits(self, table: RouteTable) -> None:
-        """Put the configuration's limits for clients in force, on open connections, too."""
+        """Apply the configuration's client limits, to open connections as well."""
         server = self._requests
         if server is None:
             return
@@ -232,16 +232,16 @@
             maximum_header_bytes=limits.max_header_bytes,
         )
 
-    def _tidy(self, stopping: threading.Event) -> None:
-        """Forget workers that are gone."""
-        while not stopping.wait(TIDY_PERIOD_S):
+    def _prune(self, stopping: threading.Event) -> None:
+        """Drop the state of workers that no longer exist."""
+        while not stopping.wait(PRUNE_INTERVAL_S):
             workers = self._views.workers.all()
-            self._loads.forget_others({worker.incarnation for worker in workers})
+            self._loads.retain({worker.incarnation for worker in workers})
             self._room.forget_others({worker.incarnation for worker in workers})
-            self._connections.forget_others({worker.address for worker in workers})
+            self._connections.retain({worker.address for worker in workers})
 
     def drain(self, deadline_s: float) -> None:
-        """Send no new clients here, and go on until those that hold the address are gone."""
+        """Stop attracting new clients and serve until cached addresses have expired."""
         server = self._requests
         if server is None:
             return
@@ -250,19 +250,19 @@
         server.closing_connections = True
         emit(PROCESS_DRAINING, in_flight=server.busy_connections())
         end_s = began_s + max(0.0, deadline_s - STOP_MARGIN_S)
-        quiet_from_s = min(began_s + ADDRESS_LIFE_FACTOR * TTL_S, end_s)
+        quiet_from_s = min(began_s + ADDRESS_TTL_FACTOR * TTL_S, end_s)
         while time.monotonic() < end_s:
             if time.monotonic() >= quiet_from_s and not server.busy_connections():
                 break
-            threading.Event().wait(DRAIN_LOOK_S)
+            threading.Event().wait(DRAIN_POLL_INTERVAL_S)
         server.stop_accepting(STOP_MARGIN_S / 2)
-        # The requests of connections that were accepted last are read and answered still.
-        threading.Event().wait(DRAIN_LOOK_S)
+        # Requests on the connections accepted last must be read before they count as busy.
+        threading.Event().wait(DRAIN_POLL_INTERVAL_S)
         while server.busy_connections() and time.monotonic() < end_s:
-            threading.Event().wait(DRAIN_LOOK_S)
+            threading.Event().wait(DRAIN_POLL_INTERVAL_S)
 
     def stop(self) -> None:
-        """Close every connection and end every thread."""
+        """Close all connections and stop all threads."""
         servers, self._servers = self._servers, []
         for server in servers:
             server.close_all()
--- a/src/bellweir/hosted/serving/simple_application.py
+++ b/src/bellweir/hosted/serving/simple_application.py
@@ -1,4 +1,4 @@
-"""WSGI application of an interface whose answers are short."""
+"""WSGI application for endpoints with short responses."""
 
 from collections.abc import Callable, Iterable
 
@@ -9,7 +9,7 @@
 
 
 class SimpleApplication:
-    """Serves one interface whose answers are short."""
+    """Serves an endpoint with one handler; responses are not streamed."""
 
     def __init__(self, handler: Handler) -> None:
         self._handler = handler
--- a/src/bellweir/hosted/serving/streams.py
+++ b/src/bellweir/hosted/serving/streams.py
@@ -1,8 +1,8 @@
-"""Forwards requests whose answer is a series of events, and resumes those that break off.
+"""Forwards event streams and resumes interrupted ones.
 
-Only whole events go on to the client. A route that may be resumed continues a broken stream at
-another worker behind the last event that was passed on, inside the same answer, under the head
-and signature of the first worker. Any other broken stream ends the client's connection short.
+Only complete events are forwarded to the client. On resumable routes an interrupted stream
+continues at another worker after the last forwarded event, within the same response and with the
+headers and signature of the first worker. Otherwise the client's connection is aborted.
 """
 
 import http.client
@@ -33,9 +33,9 @@
 from bellweir.hosted.serving.client_request import MS_PER_S, ClientRequest
 from bellweir.hosted.serving.failed_attempt import FailedAttempt
 from bellweir.hosted.serving.forwarding import (
-    MAXIMUM_SENDS,
+    MAX_SENDS,
     Forwarder,
-    fixed_retry_after_s,
+    default_retry_after_s,
     gateway_response,
 )
 from bellweir.hosted.serving.selection import WorkerLoads
@@ -46,19 +46,19 @@
 from bellweir.http_server.http import Response
 
 SERVER_ERROR = 500
-BEGUN_STATES = frozenset({AttemptState.ANSWERED, AttemptState.UNKNOWN})
-"""Outcomes of an attempt after which its worker may have begun the request."""
-SILENCE_S = 1.5
-"""Time without an event after which a stream that may be resumed is taken for broken."""
+POSSIBLY_RUN_STATES = frozenset({AttemptState.ANSWERED, AttemptState.UNKNOWN})
+"""Outcomes of an attempt after which the request may have run."""
+EVENT_TIMEOUT_S = 1.5
+"""Time without data after which a resumable stream is considered broken."""
 
 
 class StreamBrokenError(OSError):
-    """The stream ended short and may not, or could not, be resumed."""
+    """The stream was interrupted and could not be resumed."""
 
 
 @dataclass
 class _Stream:
-    """One client's stream."""
+    """State of one client's stream across its attempts."""
 
     client: ClientRequest
     table: RouteTable
@@ -71,11 +71,11 @@
     cause: str = "no_worker"
     worker: Worker | None = None
     head_s: float = 0.0
-    """Time that the newest answer's head took."""
+    """Time to the headers of the latest response."""
 
     @property
     def may_resume(self) -> bool:
-        """Whether another worker may run the request after one may have begun it."""
+        """Whether another worker may run the request although one may have started it."""
         return self.client.route.can_resume and self.client.may_be_sent_again
 
 
@@ -95,59 +95,59 @@
         self._caller_watch = caller_watch
 
     def forward(self, client: ClientRequest, table: RouteTable) -> Response:
-        """Serve one request; the answer's events are passed on as they come."""
+        """Forward one request; events are passed on as they arrive."""
         groups = self._forwarder.candidates(client, table)
         stream = _Stream(client, table, groups, Cancellation(), set(), set())
         watched = self._caller_watch.begin(client.request, stream.cancellation.cancel)
         try:
-            found = self._open(stream)
+            result = self._open(stream)
         except BaseException:
             self._caller_watch.end(watched)
             raise
-        if isinstance(found, OpenAnswer):
-            headers = response_headers(found)
-            chunks = self._events(stream, found, lambda: self._caller_watch.end(watched))
-            return Response(found.status, headers, chunks=chunks, is_stream=True)
+        if isinstance(result, OpenAnswer):
+            headers = response_headers(result)
+            chunks = self._events(stream, result, lambda: self._caller_watch.end(watched))
+            return Response(result.status, headers, chunks=chunks, is_stream=True)
         self._caller_watch.end(watched)
-        return self._end_without_stream(stream, found)
+        return self._end_without_stream(stream, result)
 
     def _open(self, stream: _Stream) -> OpenAnswer | BufferedResponse | None:
-        """Open the stream at a worker; a worker's own failure; or None."""
+        """Open the stream at a worker; otherwise return the last 5xx response, if any."""
         failure: BufferedResponse | None = None
         while (worker := self._next_worker(stream)) is not None:
             stream.tried.add(worker.incarnation)
             stream.sends += 1
             left_s = stream.client.left_s()
             began_s = time.monotonic()
-            began = self._connections.open(
-                worker, _call_of(stream), left_s, left_s * MS_PER_S, stream.cancellation
+            attempt = self._connections.open(
+                worker, _worker_call(stream), left_s, left_s * MS_PER_S, stream.cancellation
             )
-            if not stream.ran_at and began.state in BEGUN_STATES:
-                self._forwarder.note_begun(stream.client, began_s)
-            if began.state is AttemptState.ANSWERED and began.opened is not None:
+            if not stream.ran_at and attempt.state in POSSIBLY_RUN_STATES:
+                self._forwarder.count_usage(stream.client, began_s)
+            if attempt.state is AttemptState.ANSWERED and attempt.opened is not None:
                 stream.ran_at.add(worker.incarnation)
-                if began.opened.status < SERVER_ERROR:
+                if attempt.opened.status < SERVER_ERROR:
                     stream.worker = worker
                     stream.head_s = time.monotonic() - began_s
-                    return began.opened
-            elif began.state is AttemptState.UNKNOWN:
+                    return attempt.opened
+            elif attempt.state is AttemptState.UNKNOWN:
                 stream.ran_at.add(worker.incarnation)
-            failure = self._note_failure(stream, worker, began) or failure
+            failure = self._record_failed_attempt(stream, worker, attempt) or failure
         return failure
 
-    def _note_failure(
-        self, stream: _Stream, worker: Worker, began: OpenedAttempt
+    def _record_failed_attempt(
+        self, stream: _Stream, worker: Worker, attempt: OpenedAttempt
     ) -> BufferedResponse | None:
-        state = began.state
+        state = attempt.state
         answer = None
-        if began.opened is not None:
-            answer = read_response(began.opened, began).answer
+        if attempt.opened is not None:
+            answer = read_response(attempt.opened, attempt).answer
         failed = FailedAttempt(
             stream.client.request_id,
             stream.sends,
             worker,
             state,
-            began.detail,
+            attempt.detail,
             round(1000 * (stream.client.route.timeout_ms / 1000 - stream.client.left_s())),
             is_cancelled=stream.cancellation.cancelled.is_set(),
         )
@@ -157,14 +157,14 @@
     def _next_worker(self, stream: _Stream) -> Worker | None:
         client = stream.client
         ended = stream.cancellation.cancelled.is_set() or client.left_s() <= 0
-        if ended or stream.sends >= MAXIMUM_SENDS:
+        if ended or stream.sends >= MAX_SENDS:
             return None
         if stream.ran_at and not stream.may_resume:
             return None
         if len(stream.ran_at) >= max(1, client.route.max_attempts):
             return None
         for workers in stream.groups:
-            worker = self._loads.choose(workers, stream.tried, is_bounded=not stream.ran_at)
+            worker = self._loads.choose(workers, stream.tried, is_budgeted=not stream.ran_at)
             if worker is not None:
                 return worker
         return None
@@ -175,9 +175,9 @@
         try:
             current: OpenAnswer | BufferedResponse | None = opened
             while isinstance(current, OpenAnswer):
-                whole = yield from self._pass_on(stream, current)
+                whole = yield from self._forward_events(stream, current)
                 if whole:
-                    self._account(stream, opened.status)
+                    self._record_outcome(stream, opened.status)
                     return
                 if stream.cancellation.cancelled.is_set() or not stream.may_resume:
                     break
@@ -187,22 +187,22 @@
         finally:
             ended()
 
-    def _pass_on(self, stream: _Stream, opened: OpenAnswer) -> Generator[bytes, None, bool]:
-        """Yield whole events; returns whether the stream came to its end."""
+    def _forward_events(self, stream: _Stream, opened: OpenAnswer) -> Generator[bytes, None, bool]:
+        """Yield complete events; return whether the stream ended properly."""
         worker = stream.worker
         splitter = EventSplitter(self._connections.headers.weight_versions)
         opened.ends_with_connection = False
         whole = False
         try:
             if stream.may_resume:
-                opened.set_timeout(SILENCE_S)
+                opened.set_timeout(EVENT_TIMEOUT_S)
             for block in opened.read_blocks():
                 for event in splitter.feed(block):
                     yield event.raw
                     if event.event_id is not None:
                         stream.last_event_id = event.event_id
                 if stream.may_resume:
-                    opened.set_timeout(min(SILENCE_S, max(0.0, stream.client.left_s())))
+                    opened.set_timeout(min(EVENT_TIMEOUT_S, max(0.0, stream.client.left_s())))
             whole = splitter.is_between_events
         except (OSError, http.client.HTTPException, EventTooLongError) as failure:
             stream.cause = f"stream_broken: {failure!r}"[:120]
@@ -235,10 +235,10 @@
                 after_event=stream.last_event_id,
             )
 
-    def _end_without_stream(self, stream: _Stream, found: BufferedResponse | None) -> Response:
-        if isinstance(found, BufferedResponse):
-            self._account(stream, found.status)
-            return Response(found.status, list(found.headers), found.body)
+    def _end_without_stream(self, stream: _Stream, result: BufferedResponse | None) -> Response:
+        if isinstance(result, BufferedResponse):
+            self._record_outcome(stream, result.status)
+            return Response(result.status, list(result.headers), result.body)
         client = stream.client
         if stream.cancellation.cancelled.is_set():
             emit(CLIENT_LEFT, request_id=client.request_id)
@@ -255,10 +255,10 @@
         )
         if status == 502:
             return gateway_response(502, stream.cause)
-        # The time to a stream's head, all that is known, says nothing of when its place is free.
-        return gateway_response(503, stream.cause, fixed_retry_after_s(stream.cause))
+        # No estimate: the time to a stream's headers does not tell when its slot is free.
+        return gateway_response(503, stream.cause, default_retry_after_s(stream.cause))
 
-    def _account(self, stream: _Stream, status: int) -> None:
+    def _record_outcome(self, stream: _Stream, status: int) -> None:
         emit(
             REQUEST_ANSWERED,
             request_id=stream.client.request_id,
@@ -271,7 +271,7 @@
         )
 
 
-def _call_of(stream: _Stream) -> WorkerCall:
+def _worker_call(stream: _Stream) -> WorkerCall:
     call = stream.client.call()
     if stream.last_event_id is None:
         return call
