--- a/features/steps/hosted_tenants_steps.py
+++ b/features/steps/hosted_tenants_steps.py
@@ -19,7 +19,7 @@
 from bellweir.hosted.batches.api import BatchApi, job_of_tenant
 from bellweir.hosted.batches.state import AcceptJob, BatchJobs, EndJob, ItemResult, RecordResults
 from bellweir.hosted.records import Route, RouteKind
-from bellweir.hosted.serving.service import maximum_key_age_s
+from bellweir.hosted.serving.service import max_key_age_s
 from bellweir.hosted.settings import TenantSettings
 from bellweir.hosted.tenants.admission import KeyCheck
 from bellweir.hosted.tenants.interface import Verdict
@@ -157,8 +157,8 @@
         (True, 99.0, Verdict.UNDECIDED),
         (False, 99.0, Verdict.ALLOWED),
     ):
-        limit_s = maximum_key_age_s(TenantSettings(strict, 5_000.0))
-        check = KeyCheck(lambda age_s=age_s: age_s, maximum_age_s=limit_s)
+        limit_s = max_key_age_s(TenantSettings(strict, 5_000.0))
+        check = KeyCheck(lambda age_s=age_s: age_s, max_age_s=limit_s)
         found = check.check(table, DEALERS[1], is_public=False, request_id="r")
         assert found.verdict is verdict, (strict, age_s)
         assert check.check(table, None, is_public=True, request_id="r").verdict is Verdict.ALLOWED
--- a/src/bellweir/hosted/tenants/__init__.py
+++ b/src/bellweir/hosted/tenants/__init__.py
@@ -1,1 +1,1 @@
-"""Tenants: whose key a request carries, and what follows from it."""
+"""Tenants: API keys of requests, admission and priority."""
--- a/src/bellweir/hosted/tenants/interface.py
+++ b/src/bellweir/hosted/tenants/interface.py
@@ -1,11 +1,11 @@
-"""Who may use a deployment, as typed values and an abstract class."""
+"""Tenants, their API keys and the admission of requests."""
 
 from abc import ABC, abstractmethod
 from enum import Enum
 
 
 class Tenant:
-    """A customer of the operator, known by the keys that its clients carry.
+    """A customer of the operator, identified by the API keys of its clients.
 
     >>> Tenant("dealers", priority=1)
     Tenant('dealers', priority=1)
@@ -14,7 +14,7 @@
     __slots__ = ("name", "priority")
 
     def __init__(self, name: str, priority: int | None = None) -> None:
-        """`priority` goes before that of the route, 0 first; None: the route's counts."""
+        """`priority` overrides that of the route, 0 is the highest; None: no override."""
         self.name = name
         self.priority = priority
 
@@ -23,28 +23,28 @@
 
 
 class Verdict(Enum):
-    """Whether a request may be served, as far as its key goes."""
+    """Result of checking the API key of a request."""
 
     ALLOWED = "allowed"
     REFUSED = "refused"
-    """The configuration in force has no such key, and it is the newest one."""
+    """The key is not in the configuration, which is current."""
     UNDECIDED = "undecided"
-    """The key is unknown here, but a newer configuration may have it."""
+    """The key can't be judged here, since the configuration may be out of date."""
 
 
 class Admission:
-    """What is known of the sender of one request."""
+    """Verdict on a request, and its tenant."""
 
     __slots__ = ("tenant", "verdict")
 
     def __init__(self, verdict: Verdict, tenant: Tenant | None = None) -> None:
-        """`tenant` is None for a request that needs no key and carries none."""
+        """`tenant` is None if the request has no valid key."""
         self.verdict = verdict
         self.tenant = tenant
 
     @property
     def tenant_name(self) -> str:
-        """Name of the tenant; empty without one."""
+        """Name of the tenant, empty if there is none."""
         return self.tenant.name if self.tenant is not None else ""
 
 
@@ -58,4 +58,4 @@
 
     @abstractmethod
     def tenant_of(self, key: str) -> Tenant | None:
-        """Return whose key this is; None for a key that the configuration lacks."""
+        """Return the tenant of a key; None if the configuration does not have it."""
--- a/src/bellweir/hosted/tenants/keys.py
+++ b/src/bellweir/hosted/tenants/keys.py
@@ -1,4 +1,4 @@
-"""Keys of one configuration, kept as digests."""
+"""API keys of one configuration, stored as keyed digests."""
 
 import hashlib
 import os
@@ -8,13 +8,12 @@
 
 DIGEST_BYTES = 16
 SCHEME = "bearer"
-_SECRET = os.urandom(32)
-"""Digests are keyed anew in each process: nobody outside can tell which table entry a key meets,
-so that the time of a look-up tells nothing of the keys that are known."""
+_DIGEST_KEY = os.urandom(32)
+"""Random per process, so that look-up times reveal nothing about the known keys."""
 
 
 class DigestedKeys(Keys):
-    """Looks keys up by their digest.
+    """Maps the digests of keys to tenants.
 
     >>> keys = DigestedKeys([(Tenant("dealers"), ("k1", "k2"))])
     >>> keys.tenant_of("k2")
@@ -26,7 +25,7 @@
     __slots__ = ("_tenants",)
 
     def __init__(self, tenants: Iterable[tuple[Tenant, Iterable[str]]]) -> None:
-        """Each tenant with its keys."""
+        """`tenants` are pairs of a tenant and its keys."""
         self._tenants: Mapping[bytes, Tenant] | None = None
         found = list(tenants)
         if found:
@@ -34,20 +33,20 @@
 
     @property
     def are_required(self) -> bool:
-        """Whether the configuration has tenants; one whose last key is gone counts, too."""
+        """Whether the configuration has tenants, including tenants without keys."""
         return self._tenants is not None
 
     def tenant_of(self, key: str) -> Tenant | None:
-        """Return whose key this is."""
+        """Return the tenant of a key; None if the key is unknown."""
         return None if self._tenants is None else self._tenants.get(_digest(key))
 
 
-def key_of(authorization: str | None) -> str | None:
-    """Return the key of an `Authorization` header; None without one of the bearer scheme.
+def parse_bearer_key(authorization: str | None) -> str | None:
+    """Return the key of an `Authorization` header; None unless it uses the bearer scheme.
 
-    >>> key_of("Bearer k1")
+    >>> parse_bearer_key("Bearer k1")
     'k1'
-    >>> key_of("Basic azE=") is None
+    >>> parse_bearer_key("Basic azE=") is None
     True
     """
     scheme, _, key = (authorization or "").strip().partition(" ")
@@ -56,4 +55,4 @@
 
 def _digest(key: str) -> bytes:
     content = key.encode("utf-8", "surrogateescape")
-    return hashlib.blake2b(content, digest_size=DIGEST_BYTES, key=_SECRET).digest()
+    return hashlib.blake2b(content, digest_size=DIGEST_BYTES, key=_DIGEST_KEY).digest()
