--- a/src/bellweir/hosted/usage/__init__.py
+++ b/src/bellweir/hosted/usage/__init__.py
@@ -1,1 +1,1 @@
-"""Usage: requests that began to run, counted by tenant and window of time, reported once."""
+"""Usage metering: requests started by workers, counted per tenant and time window."""
--- a/src/bellweir/hosted/usage/counter.py
+++ b/src/bellweir/hosted/usage/counter.py
@@ -1,4 +1,4 @@
-"""Requests that began to run, counted where they were sent from."""
+"""Counts the requests that workers started to run, in the gateway that sent them."""
 
 import threading
 from collections.abc import Iterable
@@ -6,14 +6,14 @@
 from bellweir.hosted.usage.state import WindowCounts
 from bellweir.hosted.usage.wall_clock import StableWallClock
 
-KEPT_WINDOWS = 8
-"""Windows whose counts are kept, oldest first to go; a report is due two windows after its end."""
+MAX_WINDOWS = 8
+"""Number of windows kept; a window is reported within two windows of its end."""
 
 
 class UsageCounter:
-    """Counts of one process by window and tenant. Safe for threads.
+    """Counts of one process by window and tenant. Thread-safe.
 
-    Counts only grow, so that telling them again, or a newer state of them, does no harm.
+    Counts only grow, so sending them repeatedly is idempotent.
     """
 
     def __init__(self, window_s: float, clock: StableWallClock) -> None:
@@ -24,9 +24,9 @@
         self._unsent: set[int] = set()
 
     def record_start(self, tenant: str, monotonic_s: float) -> None:
-        """Count a request of a tenant that a worker began to run at a moment of the steady clock.
+        """Count a tenant's request that a worker started to run at a monotonic time.
 
-        Requests without a tenant are nobody's use.
+        Requests without a tenant are not counted.
         """
         if not tenant:
             return
@@ -35,11 +35,11 @@
             counts = self._counts.setdefault(window, {})
             counts[tenant] = counts.get(tenant, 0) + 1
             self._unsent.add(window)
-            while len(self._counts) > KEPT_WINDOWS:
+            while len(self._counts) > MAX_WINDOWS:
                 del self._counts[min(self._counts)]
 
     def take_unsent(self) -> tuple[WindowCounts, ...]:
-        """Return the counts of windows that have changed since they were taken last."""
+        """Return the counts of the windows that have changed since the last call."""
         with self._lock:
             unsent, self._unsent = self._unsent, set()
             return tuple(
@@ -49,6 +49,6 @@
             )
 
     def requeue(self, windows: Iterable[WindowCounts]) -> None:
-        """Count windows among the untold ones again: their telling has failed."""
+        """Mark windows as unsent again after sending them has failed."""
         with self._lock:
             self._unsent.update(each.window for each in windows)
--- a/src/bellweir/hosted/usage/reporter.py
+++ b/src/bellweir/hosted/usage/reporter.py
@@ -1,8 +1,8 @@
-"""Reports each window's usage to the platform, under the lease of the store machines' duties.
+"""Reports the usage of each window to the platform, under the lease of the platform duties.
 
-A window is settled in the log before it is reported, so that whoever reports it again, after a
-lost answer or a change of holder, reports the very same counts. A new holder goes back over the
-windows that are not overdue yet: it can't know which reports of the one before it arrived.
+A window is settled in the replicated log before it is reported, so that a repeated report, after a
+lost response or a change of lease holder, has the same counts. A new holder reports all windows
+that are not overdue, since it does not know which reports of its predecessor arrived.
 """
 
 from collections.abc import Callable
@@ -19,19 +19,18 @@
 from bellweir.ledger.interface import Ledger
 
 SETTLE_SHARE = 0.45
-"""Share of the time that a report has after its window's end at which the window is settled. The
-counts of gateways that could not reach the log have so long to arrive, and the report itself has
-the rest: each outlasts an outage of four seconds where a report has ten."""
+"""Fraction of the reporting period after which a window is settled. Delayed counts of gateways must
+arrive before, the report itself is sent after; both parts must outlast a short outage."""
 SETTLE_TIMEOUT_S = 0.8
 CALL_TIMEOUT_S = 0.5
-"""Time for a call; a holder's act must be over soon after its lease is."""
-MISSED = "missed"
-LATE_MARGIN_S = 0.3
-"""Time before a report is due in which none is begun: it would arrive too late to count."""
+"""Kept short, since calls must end soon after the lease does."""
+MISSED_OUTCOME = "missed"
+DEADLINE_MARGIN_S = 0.3
+"""No report is started this close to its deadline."""
 
 
 class UsageReporter:
-    """`step` is called by one task, a few times a second."""
+    """Reports ended windows in order. `step` is called periodically by one task."""
 
     def __init__(
         self,
@@ -44,9 +43,9 @@
         is_needed: Callable[[], bool],
         count: Callable[[str], None] = lambda _outcome: None,
     ) -> None:
-        """`is_needed` tells whether the deployment has tenants whose usage can be reported.
+        """`is_needed` returns whether the deployment has tenants.
 
-        `count` is called with the answer to each call, and with `missed` for an overdue window.
+        `count` is called with the outcome of each call, and with `missed` for an overdue window.
         """
         self._count = count
         self._lease = lease
@@ -56,34 +55,34 @@
         self._node = node
         self._clock = clock
         self._is_needed = is_needed
-        self._next: int | None = None
-        """The first window that this holder has not reported; None without the lease."""
+        self._next_window: int | None = None
+        """First window not yet reported by this holder; None without the lease."""
 
     def step(self) -> None:
-        """Report the windows that can be, oldest first; those that are overdue are passed over."""
+        """Report all windows that are due, oldest first; overdue ones are skipped and logged."""
         if self._lease.may_act_for_s() <= 0 or not self._is_needed():
-            self._next = None
+            self._next_window = None
             return
         now_s = self._clock.now_s()
-        oldest = self._window_that_ended(now_s - self._settings.late_s + LATE_MARGIN_S) + 1
+        oldest = self._window_that_ended(now_s - self._settings.late_s + DEADLINE_MARGIN_S) + 1
         newest = self._window_that_ended(now_s - SETTLE_SHARE * self._settings.late_s)
-        if self._next is None:
-            self._next = oldest
-        for window in range(self._next, oldest):
+        if self._next_window is None:
+            self._next_window = oldest
+        for window in range(self._next_window, oldest):
             self._miss(window)
-        for window in range(max(oldest, self._next), newest + 1):
-            self._next = window
+        for window in range(max(oldest, self._next_window), newest + 1):
+            self._next_window = window
             if not self._report(window):
                 return
-            self._next = window + 1
+            self._next_window = window + 1
 
     def _window_that_ended(self, wall_time_s: float) -> int:
-        """The newest window whose end is not after a moment."""
+        """Return the latest window that has ended at a time."""
         return int(wall_time_s // self._settings.window_s) - 1
 
     def _miss(self, window: int) -> None:
         emit(USAGE_MISSED, window=window)
-        self._count(MISSED)
+        self._count(MISSED_OUTCOME)
 
     def _report(self, window: int) -> bool:
         settled = self._ledger.submit(USAGE_KEY, SettleUsage(window), SETTLE_TIMEOUT_S)
@@ -91,7 +90,7 @@
         if not isinstance(reply, UsageSettled):
             return False
         if reply.is_forgotten:
-            # A report without its counts would differ from the one that was made of it.
+            # Its counts are gone, and a report without them would contradict an earlier one.
             self._miss(window)
             return True
         fence = self._lease.begin_act(CALL_TIMEOUT_S)
--- a/src/bellweir/hosted/usage/sender.py
+++ b/src/bellweir/hosted/usage/sender.py
@@ -1,4 +1,4 @@
-"""Service `usage_counts`: a gateway tells the log what it has counted."""
+"""Service `usage_counts`: sends a gateway's usage counts to the replicated log."""
 
 import os
 import threading
@@ -17,40 +17,39 @@
 from bellweir.kernel.service import Service
 from bellweir.ledger.interface import Ledger
 
-SEND_PERIOD_S = 0.7
-"""Time between two tellings: what a gateway that is killed takes with it. At 14 requests a second
-over 60 gateways that is one request in six kills, below a hundredth of a window's 70."""
+SEND_INTERVAL_S = 0.7
+"""Counts of up to this time are lost if a gateway is killed."""
 SEND_TIMEOUT_S = 1.0
 FINAL_SEND_TIMEOUT_S = 0.4
-"""The same at a planned stop, whose time is short."""
+"""Timeout at a graceful shutdown."""
 
 
 class UsageSender:
-    """Brings the counts of one process to the log, again and again until they are there."""
+    """Sends the counts of one process to the log and retries until they are stored."""
 
     def __init__(self, counter: UsageCounter, ledger: Ledger, source: str) -> None:
-        """`source` names the node and this life of its process."""
+        """`source` identifies the node and this run of its process."""
         self._counter = counter
         self._ledger = ledger
         self._source = source
 
     def send(self, timeout_s: float) -> bool:
-        """Tell what has changed; False when it could not be told and stays to be told."""
+        """Send the changed counts; on failure they are requeued and the result is False."""
         windows = self._counter.take_unsent()
         if not windows:
             return True
-        reply_result = self._ledger.submit(USAGE_KEY, AddUsage(self._source, windows), timeout_s)
-        if not isinstance(reply_result, Success):
+        result = self._ledger.submit(USAGE_KEY, AddUsage(self._source, windows), timeout_s)
+        if not isinstance(result, Success):
             self._counter.requeue(windows)
             return False
-        reply = reply_result.unwrap()
+        reply = result.unwrap()
         if isinstance(reply, UsageAdded) and reply.too_late:
             emit(USAGE_TOO_LATE, windows=list(reply.too_late))
         return True
 
 
 class UsageCountsService(Service):
-    """Holds a gateway's counter and tells of it."""
+    """Owns the gateway's usage counter and sends its counts periodically."""
 
     name = names.USAGE_COUNTS
     dependencies = (names.LEDGER,)
@@ -63,7 +62,7 @@
         self._sender: UsageSender | None = None
 
     def start(self) -> None:
-        """Tell of the counts from now on, where somebody reports them."""
+        """Start sending counts, if the platform takes usage reports."""
         ledger = self._kernel.registry.find(names.LEDGER, Ledger)  # type: ignore[type-abstract]
         ledger.register(UsageWindows)
         if self._is_reported:
@@ -71,13 +70,13 @@
             self._kernel.executors.run_task("tell-usage", self._run)
 
     def stop(self) -> None:
-        """Tell the rest; the service whose requests are counted has stopped before."""
+        """Send the remaining counts; the counting service has already stopped."""
         sender, self._sender = self._sender, None
         if sender is not None:
             sender.send(FINAL_SEND_TIMEOUT_S)
 
     def _run(self, stopping: threading.Event) -> None:
-        while not stopping.wait(SEND_PERIOD_S):
+        while not stopping.wait(SEND_INTERVAL_S):
             sender = self._sender
             if sender is not None:
                 sender.send(SEND_TIMEOUT_S)
--- a/src/bellweir/hosted/usage/service.py
+++ b/src/bellweir/hosted/usage/service.py
@@ -1,4 +1,4 @@
-"""Service `usage_reports`: a store machine reports usage while it holds the duties' lease."""
+"""Service `usage_reports`: reports usage while this node holds the lease of the duties."""
 
 import threading
 
@@ -15,11 +15,11 @@
 from bellweir.kernel.service import Service
 from bellweir.ledger.interface import Ledger
 
-STEP_S = 0.2
+STEP_INTERVAL_S = 0.2
 
 
 class UsageReportsService(Service):
-    """Runs the reporter."""
+    """Runs the usage reporter."""
 
     name = names.USAGE_REPORTS
     dependencies = (names.LEDGER, names.VIEWS, names.ROLLOUTS, names.TELEMETRY)
@@ -30,7 +30,7 @@
         self._platform = platform
 
     def start(self) -> None:
-        """Start the task, where the platform takes reports."""
+        """Start the task if the platform takes usage reports."""
         registry = self._kernel.registry
         ledger = registry.find(names.LEDGER, Ledger)  # type: ignore[type-abstract]
         ledger.register(UsageWindows)
@@ -62,5 +62,5 @@
         return table is not None and table.keys.are_required
 
     def _run(self, stopping: threading.Event) -> None:
-        while not stopping.wait(STEP_S):
+        while not stopping.wait(STEP_INTERVAL_S):
             self._reporter.step()
--- a/src/bellweir/hosted/usage/state.py
+++ b/src/bellweir/hosted/usage/state.py
@@ -1,7 +1,7 @@
-"""Usage as the replicated log keeps it: counts of each gateway, and what each window came to.
+"""Replicated state of usage: counts of each gateway, and the totals of settled windows.
 
-A window is settled once. From then on its sums never change, whoever reports them and however
-often: the platform may get the same report twice, but never two that differ.
+A window is settled once, after which its totals never change. The platform may get the same report
+twice, but never two different ones for a window.
 """
 
 from typing import Any
@@ -12,46 +12,46 @@
 from bellweir.ledger.interface import Command, Query, Reply, StateMachine
 
 USAGE_KEY = "usage"
-"""Ledger key of all usage."""
-KEPT_WINDOWS = 24
-"""Settled windows that are kept; a report is due two windows after its end."""
+"""Ledger key of the usage state."""
+MAX_WINDOWS = 24
+"""Number of settled windows kept; a window is reported within two windows of its end."""
 
 
 class WindowCounts(msgspec.Struct, frozen=True):
-    """Requests that began to run in one window, by tenant."""
+    """Requests started in one window, by tenant."""
 
     window: int
-    """Number of the window since 1970."""
+    """Index of the window since the Unix epoch."""
     counts: dict[str, int]
 
 
 class AddUsage(Command, frozen=True):
-    """Note what one process has counted so far in some windows."""
+    """Store the counts of one process for some windows."""
 
     source: str
-    """Node and life of the process; what it tells later replaces what it told before."""
+    """Node and run of the process; later counts of a source replace earlier ones."""
     windows: tuple[WindowCounts, ...]
 
 
 class SettleUsage(Command, frozen=True):
-    """Fix what a window came to; what arrives for it later is not counted any more."""
+    """Fix the totals of a window; later counts for it are ignored."""
 
     window: int
 
 
 class UsageAdded(Reply, frozen=True):
-    """Which windows were settled already, so that the counts told of them are lost."""
+    """Reply to `AddUsage`: windows that were already settled, whose new counts are lost."""
 
     too_late: tuple[int, ...] = ()
 
 
 class UsageSettled(Reply, frozen=True):
-    """What a window came to; the same for everyone who settles it."""
+    """Totals of a window; the same for every command that settles it."""
 
     counts: dict[str, int]
     is_new: bool = True
     is_forgotten: bool = False
-    """Whether it was settled so long ago that its counts are not known any more."""
+    """Whether the window is too old, so that its totals are no longer kept."""
 
 
 class _Saved(msgspec.Struct, frozen=True):
@@ -61,26 +61,26 @@
 
 
 class UsageWindows(StateMachine):
-    """All usage of a shard."""
+    """Usage counts and settled totals of a shard."""
 
     def __init__(self) -> None:
         self.counts_by_source: dict[int, dict[str, dict[str, int]]] = {}
-        """Counts by window, process and tenant."""
+        """Counts by window, source and tenant."""
         self.settled: dict[int, dict[str, int]] = {}
-        """Sums by window and tenant."""
+        """Totals by window and tenant."""
         self._forgotten_up_to = -1
-        """Windows up to this one are not known any more."""
+        """Latest window that has been discarded, with all before it."""
 
     def command_types(self) -> tuple[type[Command], ...]:
-        """Commands it applies."""
+        """Return the commands it applies."""
         return (AddUsage, SettleUsage)
 
     def query_types(self) -> tuple[type[Query], ...]:
-        """Queries it answers: none."""
+        """Return the queries it answers: none."""
         return ()
 
     def reply_types(self) -> tuple[type[Reply], ...]:
-        """What it may return."""
+        """Return the replies it may give."""
         return (UsageAdded, UsageSettled)
 
     def apply(self, command: Command) -> Reply:
@@ -100,7 +100,7 @@
                 continue
             counts = self.counts_by_source.setdefault(each.window, {}).setdefault(source, {})
             for tenant, count in each.counts.items():
-                # Commands of one process may overtake each other; its counts only grow.
+                # Commands of one source may be reordered; its counts only grow.
                 counts[tenant] = max(counts.get(tenant, 0), count)
         return UsageAdded(tuple(too_late))
 
@@ -116,18 +116,18 @@
             for tenant, count in counts.items():
                 sums[tenant] = sums.get(tenant, 0) + count
         self.settled[window] = sums
-        self._forget_old()
+        self._discard_old()
         return UsageSettled(sums)
 
-    def _forget_old(self) -> None:
-        """Forget the oldest windows beyond those that are kept, and what was told up to them.
+    def _discard_old(self) -> None:
+        """Discard the oldest settled windows beyond `MAX_WINDOWS`, and all counts up to them.
 
-        They are counted, not measured from the newest one: a holder whose time of day is ahead
-        settles windows that are yet to come, and all before these would be refused as too late.
+        The limit is a number of windows, not a distance from the newest one: a holder whose clock
+        is ahead settles future windows, which must not make current ones count as too late.
         """
-        if len(self.settled) <= KEPT_WINDOWS:
+        if len(self.settled) <= MAX_WINDOWS:
             return
-        up_to = sorted(self.settled)[-KEPT_WINDOWS - 1]
+        up_to = sorted(self.settled)[-MAX_WINDOWS - 1]
         self._forgotten_up_to = up_to
         self.counts_by_source = {
             window: each for window, each in self.counts_by_source.items() if window > up_to
@@ -135,16 +135,16 @@
         self.settled = {window: each for window, each in self.settled.items() if window > up_to}
 
     def answer(self, query: Query) -> Reply:
-        """Answer a query: there is none."""
+        """Raise `TypeError`, as there are no queries."""
         raise TypeError(f"unknown query {type(query).__name__}")
 
     def save(self) -> bytes:
-        """The whole state."""
+        """Return the state as a snapshot."""
         saved = _Saved(self.counts_by_source, self.settled, self._forgotten_up_to)
         return cbor2.dumps(msgspec.to_builtins(saved))
 
     def load(self, state: bytes) -> None:
-        """Replace the state by a saved one."""
+        """Replace the state by a snapshot."""
         plain: Any = cbor2.loads(state)
         saved = msgspec.convert(plain, _Saved)
         self.counts_by_source = saved.counts_by_source
