--- a/src/bellweir/hosted/scaling/__init__.py
+++ b/src/bellweir/hosted/scaling/__init__.py
@@ -1,1 +1,1 @@
-"""Scaling: how many workers each zone of a service is to hold."""
+"""Autoscaling: the desired number of workers of each service and zone."""
--- a/src/bellweir/hosted/scaling/controller.py
+++ b/src/bellweir/hosted/scaling/controller.py
@@ -1,7 +1,7 @@
-"""Orders workers for the zones of each service that may be scaled, under the duties' lease.
+"""Autoscaling controller: orders workers from the platform under the lease of the duties.
 
-An order says how many workers a zone holds, so that the same order again does no harm. Each one is
-followed by a pause in which its workers start; then it is given again if they have not come.
+An order states the desired count of a zone and is therefore idempotent. After an order the
+controller waits for the workers to start, and repeats the order if they have not.
 """
 
 import time
@@ -11,27 +11,31 @@
 from bellweir.hosted.interface import DutyAnswer, DutyPlatform, WorkersOrder
 from bellweir.hosted.log_events import WORKERS_ORDERED
 from bellweir.hosted.records import ServiceEntry
-from bellweir.hosted.scaling.interface import ScalingLimits, ScalingPolicy, Wish, ZoneState
-from bellweir.hosted.scaling.standing import StandingWorkers
+from bellweir.hosted.scaling.desired_counts import DesiredCounts
+from bellweir.hosted.scaling.interface import (
+    ScalingDecision,
+    ScalingLimits,
+    ScalingPolicy,
+    ZoneState,
+)
 from bellweir.hosted.views.configuration import ConfigurationView
 from bellweir.hosted.views.workers import WorkersView
 from bellweir.hosted.weights.lease import Lease
 
 CALL_TIMEOUT_S = 0.5
-"""Time for a call; a holder's act must be over soon after its lease is."""
-DRY_S = 6.0
-"""Time for which a zone that can have no worker is not asked again."""
-AGAIN_MARGIN_S = 3.0
-"""Time beyond a worker's start after which an order is given again: its entry must be written, and
-read here."""
-UNANSWERED_PAUSE_S = 0.6
-"""Pause after a call that was not done, or whose answer was lost."""
-OLDEST_VIEW_S = 3.0
-"""Age of the list of workers from which on nobody is missed: it may lack those who live."""
+"""Kept short, since calls must end soon after the lease does."""
+CAPACITY_BACKOFF_S = 6.0
+"""Backoff for a zone in which the platform has no capacity."""
+REORDER_MARGIN_S = 3.0
+"""Time allowed, beyond the boot time, for a new worker's entry to be written and read here."""
+FAILED_CALL_BACKOFF_S = 0.6
+"""Backoff after a call that failed or whose outcome is unknown."""
+MAX_WORKERS_AGE_S = 3.0
+"""With an older list of workers nothing is ordered, as it may lack live workers."""
 
 
 class ScalingController:
-    """`step` is called by one task, about twice a second, on every node that may hold the lease."""
+    """Runs on every node that may hold the lease; `step` is called periodically by one task."""
 
     def __init__(
         self,
@@ -44,7 +48,7 @@
         workers_age_s: Callable[[], float] = lambda: 0.0,
         now_s: Callable[[], float] = time.monotonic,
     ) -> None:
-        """`workers_age_s` tells since when the list of workers may have changed."""
+        """`workers_age_s` returns how long the list of workers may have been out of date."""
         self._lease = lease
         self._platform = platform
         self._configuration = configuration
@@ -53,65 +57,69 @@
         self._node = node
         self._workers_age_s = workers_age_s
         self._now_s = now_s
-        self._services: dict[str, StandingWorkers] = {}
-        self._not_before_s: dict[tuple[str, str], float] = {}
+        self._services: dict[str, DesiredCounts] = {}
+        self._next_order_s: dict[tuple[str, str], float] = {}
 
     def step(self) -> None:
-        """Look at each service; the holder of the lease orders what its policy wants."""
+        """Update the state of all services; as lease holder, order what the policy decides."""
         table = self._configuration.table()
-        if table is None or self._workers_age_s() > OLDEST_VIEW_S:
+        if table is None or self._workers_age_s() > MAX_WORKERS_AGE_S:
             return
         for name, entry in table.services.items():
-            limits = limits_of(entry)
+            limits = scaling_limits(entry)
             if limits is not None:
-                self._look_at(name, limits)
+                self._reconcile(name, limits)
 
-    def _look_at(self, service: str, limits: ScalingLimits) -> None:
+    def _reconcile(self, service: str, limits: ScalingLimits) -> None:
         now_s = self._now_s()
-        standing = self._services.setdefault(service, StandingWorkers())
+        desired = self._services.setdefault(service, DesiredCounts())
         ready = self._workers.ready(service)
-        standing.note((worker.entry.zone for worker in ready), limits.prices, now_s)
+        desired.observe((worker.entry.zone for worker in ready), limits.prices, now_s)
         if self._lease.may_act_for_s() <= 0:
             return
-        for wish in self._policy.wishes(standing.zones, limits, now_s):
-            if now_s >= self._not_before_s.get((service, wish.zone), float("-inf")):
-                self._order(service, wish, standing.zones, limits)
+        for decision in self._policy.decide(desired.zones, limits, now_s):
+            if now_s >= self._next_order_s.get((service, decision.zone), float("-inf")):
+                self._order(service, decision, desired.zones, limits)
 
     def _order(
-        self, service: str, wish: Wish, zones: Mapping[str, ZoneState], limits: ScalingLimits
+        self,
+        service: str,
+        decision: ScalingDecision,
+        zones: Mapping[str, ZoneState],
+        limits: ScalingLimits,
     ) -> None:
-        zone = zones[wish.zone]
+        zone = zones[decision.zone]
         fence = self._lease.begin_act(CALL_TIMEOUT_S)
         if fence == 0:
             return
-        order = WorkersOrder(service, wish.zone, wish.count, self._node, fence)
+        order = WorkersOrder(service, decision.zone, decision.count, self._node, fence)
         answer = self._platform.order_workers(order, CALL_TIMEOUT_S)
         emit(
             WORKERS_ORDERED,
             service=service,
-            zone=wish.zone,
+            zone=decision.zone,
             ready=zone.ready,
-            standing=zone.standing,
-            wanted=wish.count,
-            reason=wish.reason,
+            standing=zone.desired,
+            wanted=decision.count,
+            reason=decision.reason,
             fence=fence,
             answer=answer.value,
         )
         now_s = self._now_s()
-        pause_s = UNANSWERED_PAUSE_S
+        backoff_s = FAILED_CALL_BACKOFF_S
         if answer is DutyAnswer.DONE:
-            zone.standing = wish.count
-            for dry in wish.instead_of:
-                zones[dry].standing = zones[dry].ready
-            pause_s = limits.boot_s + AGAIN_MARGIN_S
+            zone.desired = decision.count
+            for exhausted in decision.replaced_zones:
+                zones[exhausted].desired = zones[exhausted].ready
+            backoff_s = limits.boot_s + REORDER_MARGIN_S
         elif answer in (DutyAnswer.REFUSED, DutyAnswer.INVALID):
-            zone.is_dry_until_s = now_s + DRY_S
-            pause_s = DRY_S
-        self._not_before_s[(service, wish.zone)] = now_s + pause_s
+            zone.exhausted_until_s = now_s + CAPACITY_BACKOFF_S
+            backoff_s = CAPACITY_BACKOFF_S
+        self._next_order_s[(service, decision.zone)] = now_s + backoff_s
 
 
-def limits_of(entry: ServiceEntry) -> ScalingLimits | None:
-    """Return what a service's entry allows; None for one that is not scaled from here."""
+def scaling_limits(entry: ServiceEntry) -> ScalingLimits | None:
+    """Return the scaling limits of a service; None if it is not autoscaled."""
     allowed = entry.autoscale
     if allowed is None or allowed.max < 1:
         return None
--- a/src/bellweir/hosted/scaling/interface.py
+++ b/src/bellweir/hosted/scaling/interface.py
@@ -1,72 +1,72 @@
-"""What a scaling policy sees and decides."""
+"""Interface of scaling policies: their input and decisions."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Mapping
 
 
 class ZoneState:
-    """One service's workers in one zone, as seen now."""
+    """Workers of one service in one zone."""
 
-    __slots__ = ("is_dry_until_s", "missing_since_s", "ready", "standing")
+    __slots__ = ("desired", "exhausted_until_s", "missing_since_s", "ready")
 
     def __init__(self) -> None:
         self.ready = 0
-        """Workers that may get requests."""
-        self.standing = 0
-        """Workers that the zone held when it was last at rest, or was ordered to hold since."""
+        """Workers that are ready for requests."""
+        self.desired = 0
+        """Desired count: the last stable count, or the count ordered since."""
         self.missing_since_s: float | None = None
-        """Monotonic time since when fewer are ready than stood; None while none is missing."""
-        self.is_dry_until_s = float("-inf")
-        """Monotonic time until which no further worker is asked for here."""
+        """Monotonic time since which workers have been missing; None while none is."""
+        self.exhausted_until_s = float("-inf")
+        """Monotonic time until which no workers are ordered in this zone."""
 
     @property
     def missing(self) -> int:
-        """Workers that are gone."""
-        return max(0, self.standing - self.ready)
+        """Number of workers below the desired count."""
+        return max(0, self.desired - self.ready)
 
 
 class ScalingLimits:
-    """What an operator allows for a service, in each of its zones."""
+    """Limits set by the operator for a service; counts are per zone."""
 
     __slots__ = ("boot_s", "maximum", "minimum", "prices")
 
     def __init__(
         self, minimum: int, maximum: int, boot_s: float, prices: Mapping[str, float]
     ) -> None:
-        """`prices` are those of a second of a worker, by zone."""
+        """`prices` maps zones to the price of a worker-second."""
         self.minimum = minimum
         self.maximum = maximum
         self.boot_s = boot_s
         self.prices = prices
 
     def clip(self, wanted: int) -> int:
-        """Return the nearest allowed number."""
+        """Clamp a count to the allowed range."""
         return max(self.minimum, min(self.maximum, wanted))
 
 
-class Wish:
-    """How many workers a zone is to hold, and why."""
+class ScalingDecision:
+    """Desired worker count of a zone, and the reason."""
 
-    __slots__ = ("count", "instead_of", "reason", "zone")
+    __slots__ = ("count", "reason", "replaced_zones", "zone")
 
     def __init__(
-        self, zone: str, count: int, reason: str, instead_of: tuple[str, ...] = ()
+        self, zone: str, count: int, reason: str, replaced_zones: tuple[str, ...] = ()
     ) -> None:
-        """`instead_of` names the zones whose missing workers this one is to hold."""
+        """`replaced_zones` are the zones whose missing workers are replaced in this one."""
         self.zone = zone
         self.count = count
         self.reason = reason
-        self.instead_of = instead_of
+        self.replaced_zones = replaced_zones
 
     def __repr__(self) -> str:
         return f"Wish({self.zone!r}, {self.count}, {self.reason!r})"
 
 
 class ScalingPolicy(ABC):
-    """Decides how many workers the zones of one service are to hold."""
+    """Decides the worker counts of the zones of one service."""
 
     @abstractmethod
-    def wishes(
+    def decide(
         self, zones: Mapping[str, ZoneState], limits: ScalingLimits, now_s: float
-    ) -> list[Wish]:
-        """Return the zones to be ordered another number, or the same one again; often none."""
+    ) -> list[ScalingDecision]:
+        """Return decisions for the zones that need an order; repeated until workers are ready."""
--- a/src/bellweir/hosted/scaling/service.py
+++ b/src/bellweir/hosted/scaling/service.py
@@ -1,4 +1,4 @@
-"""Service `scaling`: a store machine orders workers while it holds the duties' lease."""
+"""Service `scaling`: runs the autoscaling controller, which acts while it holds the lease."""
 
 import threading
 
@@ -13,12 +13,12 @@
 from bellweir.kernel.node import Kernel
 from bellweir.kernel.service import Service
 
-STEP_S = 0.5
+STEP_INTERVAL_S = 0.5
 POLICIES: dict[str, type[ScalingPolicy]] = {"hold": HoldPolicy, "replace": ReplacePolicy}
 
 
 class ScalingService(Service):
-    """Runs the controller, where the platform takes orders for workers."""
+    """Runs the controller if the platform takes scaling orders."""
 
     name = names.SCALING
     dependencies = (names.VIEWS, names.ROLLOUTS)
@@ -50,5 +50,5 @@
         """The task ends with the executors."""
 
     def _run(self, stopping: threading.Event) -> None:
-        while not stopping.wait(STEP_S):
+        while not stopping.wait(STEP_INTERVAL_S):
             self._controller.step()
