--- a/src/bellweir/hosted/scaling/controller.py
+++ b/src/bellweir/hosted/scaling/controller.py
@@ -75,7 +75,7 @@
         desired = self._services.setdefault(service, DesiredCounts())
         ready = self._workers.ready(service)
         desired.observe((worker.entry.zone for worker in ready), limits.prices, now_s)
-        if self._lease.may_act_for_s() <= 0:
+        if self._lease.remaining_s() <= 0:
             return
         for decision in self._policy.decide(desired.zones, limits, now_s):
             if now_s >= self._next_order_s.get((service, decision.zone), float("-inf")):
@@ -89,7 +89,7 @@
         limits: ScalingLimits,
     ) -> None:
         zone = zones[decision.zone]
-        fence = self._lease.begin_act(CALL_TIMEOUT_S)
+        fence = self._lease.begin_operation(CALL_TIMEOUT_S)
         if fence == 0:
             return
         order = WorkersOrder(service, decision.zone, decision.count, self._node, fence)
--- a/src/bellweir/hosted/serving/forwarding.py
+++ b/src/bellweir/hosted/serving/forwarding.py
@@ -13,7 +13,7 @@
 from bellweir.hosted.incarnation import Incarnation
 from bellweir.hosted.log_events import REQUEST_ANSWERED, REQUEST_GIVEN_UP
 from bellweir.hosted.queueing.gate import RequestGate
-from bellweir.hosted.queueing.interface import Waiting
+from bellweir.hosted.queueing.interface import QueuedRequest
 from bellweir.hosted.records import RouteKind
 from bellweir.hosted.serving.attempt import (
     AttemptOutcome,
@@ -169,7 +169,7 @@
         """Whether the gate admits the request; blocks while the request is queued."""
         if self._gate is None or not self._is_gated(client):
             return True
-        waiting = Waiting(
+        waiting = QueuedRequest(
             client.request_id,
             client.tenant,
             client.priority,
@@ -185,7 +185,7 @@
         """Tell the gate, once, that the request is counted at a worker or has ended."""
         if progress.is_dispatching and self._gate is not None:
             progress.is_dispatching = False
-            self._gate.arrived(_queue_of(client))
+            self._gate.dispatch_done(_queue_of(client))
 
     def retry_after_s(self, client: ClientRequest, groups: list[list[Worker]], cause: str) -> float:
         """Return the Retry-After of a refused request, in seconds."""
@@ -194,7 +194,7 @@
         workers = [worker for group in groups for worker in group]
         after_s = None
         if self._gate is not None:
-            after_s = self._gate.after_s(
+            after_s = self._gate.retry_after_s(
                 _queue_of(client), workers, client.target_s, client.left_s(), client.left_share
             )
         return after_s if after_s is not None else default_retry_after_s(cause)
--- a/src/bellweir/hosted/serving/selection.py
+++ b/src/bellweir/hosted/serving/selection.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from bellweir.hosted.incarnation import Incarnation
-from bellweir.hosted.sight.interface import SeenOutcome, Sight
+from bellweir.hosted.sight.interface import ObservedOutcome, WorkerMonitor
 from bellweir.hosted.views.workers import Worker
 
 REFUSAL_PENALTY_S = 0.15
@@ -53,7 +53,7 @@
         self,
         own_zone: str,
         has_connection: Callable[[str], bool] = lambda _address: False,
-        sight: Sight | None = None,
+        sight: WorkerMonitor | None = None,
         *,
         uses_shared_stats: bool = True,
         choice_count: int = 0,
@@ -102,7 +102,7 @@
             chosen = min(candidates, key=lambda worker: self._rank(worker, now_s, pace_of))
             self._load(chosen.incarnation).in_flight += 1
         if self._sight is not None:
-            begun = self._sight.begun_again if tried else self._sight.begun
+            begun = self._sight.record_retry if tried else self._sight.record_start
             begun(chosen.entry.service, chosen.incarnation)
         return chosen
 
@@ -111,7 +111,7 @@
         with self._lock:
             self._load(worker.incarnation).in_flight += 1
         if self._sight is not None:
-            self._sight.begun(worker.entry.service, worker.incarnation)
+            self._sight.record_start(worker.entry.service, worker.incarnation)
 
     def in_flight(self, worker: Incarnation) -> int:
         """Return the number of this process's requests in flight at a worker."""
@@ -131,34 +131,34 @@
             first = load.mean_s == 0.0
             load.mean_s = seconds if first else load.mean_s + SMOOTHING * (seconds - load.mean_s)
             self._update_local_mean(seconds)
-        self._report(worker, SeenOutcome.SERVED, seconds)
+        self._report(worker, ObservedOutcome.SERVED, seconds)
 
     def record_refusal(self, worker: Incarnation) -> None:
         """End a request that the worker refused to run."""
         self._release_with_penalty(worker, REFUSAL_PENALTY_S, failed=False)
-        self._report(worker, SeenOutcome.REFUSED)
+        self._report(worker, ObservedOutcome.REFUSED)
 
     def record_error_response(self, worker: Incarnation) -> None:
         """End a request after an error response of the worker."""
         self._release_with_penalty(worker, REFUSAL_PENALTY_S, failed=False)
-        self._report(worker, SeenOutcome.FAILED)
+        self._report(worker, ObservedOutcome.FAILED)
 
     def record_failure(self, worker: Incarnation) -> None:
         """End a request without a usable response."""
         self._release_with_penalty(worker, FAILURE_PENALTY_S, failed=True)
-        self._report(worker, SeenOutcome.FAILED)
+        self._report(worker, ObservedOutcome.FAILED)
 
     def record_timeout(self, worker: Incarnation, seconds: float) -> None:
         """End a request that timed out after `seconds`."""
         self._release_with_penalty(worker, FAILURE_PENALTY_S, failed=True)
         with self._lock:
             self._update_local_mean(seconds)
-        self._report(worker, SeenOutcome.LATE, seconds)
+        self._report(worker, ObservedOutcome.LATE, seconds)
 
     def release(
         self,
         worker: Incarnation,
-        outcome: SeenOutcome = SeenOutcome.UNKNOWN,
+        outcome: ObservedOutcome = ObservedOutcome.UNKNOWN,
         seconds: float = 0.0,
     ) -> None:
         """End a request without changing the local statistics; other gateways learn the outcome."""
@@ -172,15 +172,15 @@
 
     def may_try_again(self, service: str) -> bool:
         """Return whether the retry budget of a service allows another retry."""
-        return self._sight is None or self._sight.may_try_again(service)
+        return self._sight is None or self._sight.may_retry(service)
 
     def fellows_slow_s(self, service: str) -> float:
         """Return the 95th percentile latency of a service's healthy workers; 0 while unknown."""
-        return 0.0 if self._sight is None else self._sight.fellows_slow_s(service)
+        return 0.0 if self._sight is None else self._sight.service_p95_s(service)
 
     def fellows_usual_s(self, service: str) -> float:
         """Return the median latency of a service's healthy workers; 0 while unknown."""
-        return 0.0 if self._sight is None else self._sight.fellows_usual_s(service)
+        return 0.0 if self._sight is None else self._sight.service_median_s(service)
 
     def mean_s(self, worker: Incarnation) -> float:
         """Return the moving average latency of a worker."""
@@ -206,9 +206,9 @@
                 load.failures += 1
             load.penalized_until_s = time.monotonic() + penalty_s
 
-    def _report(self, worker: Incarnation, outcome: SeenOutcome, seconds: float = 0.0) -> None:
+    def _report(self, worker: Incarnation, outcome: ObservedOutcome, seconds: float = 0.0) -> None:
         if self._sight is not None:
-            self._sight.ended(worker, outcome, seconds)
+            self._sight.record_end(worker, outcome, seconds)
 
     def _update_local_mean(self, seconds: float) -> None:
         mean_s = self._local_mean_s
@@ -249,7 +249,7 @@
         if self._sight is None or not self._uses_shared_stats or by_load:
             return workers
         healthy = [one for one in workers if self._load(one.incarnation).penalized_until_s <= now_s]
-        if any(self._sight.seen(one.incarnation).age_s == float("inf") for one in healthy):
+        if any(self._sight.stats(one.incarnation).age_s == float("inf") for one in healthy):
             # A worker of unknown latency would get either all requests or none.
             return workers
         expected_times = [(self._expected_response_s(one), one) for one in healthy or workers]
@@ -268,10 +268,10 @@
         in_flight, typical_s, slots = float(load.in_flight), load.mean_s, worker.entry.slots
         if self._sight is None:
             return in_flight, typical_s, slots
-        seen = self._sight.seen(worker.incarnation)
+        seen = self._sight.stats(worker.incarnation)
         if self._uses_shared_stats and seen.age_s != float("inf"):
-            in_flight = max(in_flight, seen.in_hand)
-            typical_s = seen.usual_s or typical_s
+            in_flight = max(in_flight, seen.in_flight)
+            typical_s = seen.median_s or typical_s
         if seen.load is not None:
             half_life_s = max(MIN_HALF_LIFE_S, typical_s)
             reported = seen.load.requests * float(0.5 ** (seen.load_age_s / half_life_s))
@@ -284,7 +284,7 @@
 def _eligible(
     candidates: list[Worker],
     tried: Collection[Incarnation],
-    sight: Sight,
+    sight: WorkerMonitor,
     *,
     is_budgeted: bool,
 ) -> list[Worker]:
@@ -293,24 +293,24 @@
     A first attempt probes an ejected worker if a probe is due, and may go to an ejected worker if
     all are ejected. A retry does neither, since it would likely fail again.
     """
-    healthy = [one for one in candidates if not sight.seen(one.incarnation).is_set_aside]
+    healthy = [one for one in candidates if not sight.stats(one.incarnation).is_ejected]
     if tried:
         return _within_budget(healthy, sight) if is_budgeted else healthy
     if len(healthy) < len(candidates):
-        probe_candidates = (one for one in candidates if sight.may_try(one.incarnation))
+        probe_candidates = (one for one in candidates if sight.may_probe(one.incarnation))
         probe = next(probe_candidates, None)
         if probe is not None:
             return [probe]
     return healthy or candidates
 
 
-def _within_budget(candidates: list[Worker], sight: Sight) -> list[Worker]:
+def _within_budget(candidates: list[Worker], sight: WorkerMonitor) -> list[Worker]:
     """Drop the workers of services whose retry budget is spent."""
     allowed = {}
     for service in {one.entry.service for one in candidates}:
-        allowed[service] = sight.may_try_again(service)
+        allowed[service] = sight.may_retry(service)
         if not allowed[service]:
-            sight.refused_again(service)
+            sight.record_retry_refused(service)
     return [one for one in candidates if allowed[one.entry.service]]
 
 
--- a/src/bellweir/hosted/usage/reporter.py
+++ b/src/bellweir/hosted/usage/reporter.py
@@ -60,7 +60,7 @@
 
     def step(self) -> None:
         """Report all windows that are due, oldest first; overdue ones are skipped and logged."""
-        if self._lease.may_act_for_s() <= 0 or not self._is_needed():
+        if self._lease.remaining_s() <= 0 or not self._is_needed():
             self._next_window = None
             return
         now_s = self._clock.now_s()
@@ -93,7 +93,7 @@
             # Its counts are gone, and a report without them would contradict an earlier one.
             self._miss(window)
             return True
-        fence = self._lease.begin_act(CALL_TIMEOUT_S)
+        fence = self._lease.begin_operation(CALL_TIMEOUT_S)
         if fence == 0:
             return False
         report = UsageReport(window, reply.counts, self._node, fence)
