--- a/features/steps/hosted_choice_steps.py
+++ b/features/steps/hosted_choice_steps.py
@@ -79,7 +79,7 @@
         Worker(name, WorkerEntry("app", f"{name}:1", slots=slots)) for name in ("slow", "sound")
     )
     context.known = FakeWorkerMonitor()
-    context.loads = WorkerLoads("a", sight=context.known)
+    context.loads = WorkerLoads("a", monitor=context.known)
     note_seen(context, context.slow, 0, 0.04 * factor)
     note_seen(context, context.sound, count, 0.04)
 
@@ -132,7 +132,7 @@
 def then_by_age(context):
     def ranks(load, age_s):
         sight = FakeWorkerMonitor()
-        loads = WorkerLoads("a", sight=sight)
+        loads = WorkerLoads("a", monitor=sight)
         workers = [worker_of(number) for number in range(2)]
         for worker in workers:
             loads.acquire(worker)
@@ -249,7 +249,7 @@
     @settings(max_examples=100, deadline=None)
     @given(loads=st.lists(st.tuples(st.integers(0, 6), st.floats(0.02, 2.0)), min_size=2))
     def as_before(loads):
-        plain, sighted = WorkerLoads("a"), WorkerLoads("a", sight=FakeWorkerMonitor())
+        plain, sighted = WorkerLoads("a"), WorkerLoads("a", monitor=FakeWorkerMonitor())
         workers = [worker_of(number) for number in range(len(loads))]
         ranks = []
         for each in (plain, sighted):
@@ -270,7 +270,7 @@
 )
 def then_told(context):
     sight = FakeWorkerMonitor()
-    loads = WorkerLoads("a", sight=sight)
+    loads = WorkerLoads("a", monitor=sight)
     worker = worker_of(1)
 
     def end(state, **more):
@@ -294,7 +294,7 @@
 @given_step("{gateways:d} gateways in {zones:d} zones that share their sight")
 def given_network(context, gateways, zones):
     context.network = network = SightNetwork(gateways, zones, retry_share=TRY_SHARE)
-    context.loads = [WorkerLoads("a", sight=one.monitor) for one in network.all()]
+    context.loads = [WorkerLoads("a", monitor=one.monitor) for one in network.all()]
     context.entries = [worker_of(number) for number in range(len(network.workers))]
 
 
--- a/features/steps/hosted_room_gateway_steps.py
+++ b/features/steps/hosted_room_gateway_steps.py
@@ -45,7 +45,7 @@
 def see(context, in_hand, names="ab", age_s=0.05, **more):
     for name in names:
         incarnation = context.gateway.workers.worker(f"i-{name}").incarnation
-        context.gateway.known_workers.told[incarnation] = WorkerStats(
+        context.gateway.shared_stats.stats_by_worker[incarnation] = WorkerStats(
             incarnation, in_hand, USUAL_S, USUAL_S, age_s, **more
         )
 
--- a/features/support/hosted_gateway.py
+++ b/features/support/hosted_gateway.py
@@ -62,14 +62,14 @@
         return False
 
 
-class WorkersSeen:
+class SharedWorkerStats:
     """What other gateways are said to have seen, by incarnation."""
 
     def __init__(self):
-        self.told = {}
+        self.stats_by_worker = {}
 
     def stats(self, incarnation):
-        return self.told.get(incarnation, WorkerStats(incarnation))
+        return self.stats_by_worker.get(incarnation, WorkerStats(incarnation))
 
 
 class GatewayUnderTest:
@@ -80,7 +80,7 @@
         self.view, self.workers = ConfigurationView(), WorkersView()
         self.view.apply(configuration(), "test")
         self.show_workers({worker.instance: worker.entry("app") for worker in workers})
-        self.loads = WorkerLoads("a", sight=sight)
+        self.loads = WorkerLoads("a", monitor=sight)
         connections = self._connections = (
             WorkerConnections(HEADERS, sight.record_load) if sight else WorkerConnections(HEADERS)
         )
@@ -89,10 +89,8 @@
         self.caller_watch.start()
         self.metrics = RequestMetrics()
         self.usage = UsageCounter(USAGE_WINDOW_S, StableWallClock())
-        self.known_workers = WorkersSeen()
-        room = ObservedCapacity(
-            self.loads.in_flight, self.loads.mean_s, sight or self.known_workers
-        )
+        self.shared_stats = SharedWorkerStats()
+        room = ObservedCapacity(self.loads.in_flight, self.loads.mean_s, sight or self.shared_stats)
         self.room_settings = room_settings or RoomSettings()
         self.refused = []
         self.gate = RequestGate(room, self.room_settings, self.refused.append)
--- a/src/bellweir/hosted/batches/attempts.py
+++ b/src/bellweir/hosted/batches/attempts.py
@@ -255,7 +255,7 @@
         outcome = self._connections.call(
             worker, call, SCORE_TIMEOUT_S, SCORE_DEADLINE_MS, cancellation
         )
-        answer = outcome.answer
+        answer = outcome.response
         if cancellation.cancelled.is_set() and answer is None:
             self._ended_here(progress, worker, None)
             return
--- a/src/bellweir/hosted/serving/attempt.py
+++ b/src/bellweir/hosted/serving/attempt.py
@@ -56,7 +56,7 @@
 
     state: AttemptState
     detail: str = ""
-    answer: BufferedResponse | None = None
+    response: BufferedResponse | None = None
     """Response of the worker, if any; refusals may have one, too."""
 
 
@@ -87,23 +87,23 @@
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._answer: OpenAnswer | None = None
+        self._response: OpenAnswer | None = None
         self.cancelled = threading.Event()
 
-    def attach(self, answer: OpenAnswer) -> None:
+    def attach(self, response: OpenAnswer) -> None:
         """Set the response to abort; aborts it at once if already cancelled."""
         with self._lock:
-            self._answer = answer
+            self._response = response
         if self.cancelled.is_set():
-            answer.abort()
+            response.abort()
 
     def cancel(self) -> None:
         """Abort the current attempt and prevent further ones."""
         self.cancelled.set()
         with self._lock:
-            answer = self._answer
-        if answer is not None:
-            answer.abort()
+            response = self._response
+        if response is not None:
+            response.abort()
 
 
 class WorkerConnections:
@@ -174,26 +174,26 @@
             unknown = error.kind is ErrorKind.UNKNOWN
             state = AttemptState.UNKNOWN if unknown else AttemptState.NOT_SENT
             return OpenedAttempt(state, None, error.detail)
-        self._note_load(worker.incarnation, opened.unwrap())
-        return self._judge(opened.unwrap(), call.request_id)
+        self._report_load(worker.incarnation, opened.unwrap())
+        return self._classify(opened.unwrap(), call.request_id)
 
-    def _note_load(self, worker: Incarnation, opened: OpenAnswer) -> None:
+    def _report_load(self, worker: Incarnation, opened: OpenAnswer) -> None:
         text = opened.headers.get(self.headers.server_load.lower())
         load = parse_load(text) if text else None
         if load is not None:
             self._on_load(worker, load)
 
-    def _judge(self, opened: OpenAnswer, request_id: str) -> OpenedAttempt:
+    def _classify(self, opened: OpenAnswer, request_id: str) -> OpenedAttempt:
         names = self.headers
         opened.ends_with_connection = True
         received = opened.headers
         not_run = names.not_executed.lower() in received or opened.status in NOT_RUN_STATUSES
-        answered_id = received.get(names.request_id.lower())
-        if answered_id is None and not_run:
+        response_request_id = received.get(names.request_id.lower())
+        if response_request_id is None and not_run:
             return OpenedAttempt(AttemptState.REFUSED, opened, f"status {opened.status}")
-        if answered_id != request_id:
+        if response_request_id != request_id:
             opened.drop()
-            detail = f"response to request {answered_id}"
+            detail = f"response to request {response_request_id}"
             return OpenedAttempt(AttemptState.UNKNOWN, None, detail)
         if not_run:
             return OpenedAttempt(AttemptState.REFUSED, opened, f"status {opened.status}")
@@ -227,9 +227,9 @@
         if attempt.state is AttemptState.REFUSED:
             state = attempt.state
         return AttemptOutcome(state, f"response truncated: {failure!r}")
-    answer = BufferedResponse(opened.status, response_headers(opened), body)
+    response = BufferedResponse(opened.status, response_headers(opened), body)
     opened.finish()
-    return AttemptOutcome(attempt.state, attempt.detail, answer)
+    return AttemptOutcome(attempt.state, attempt.detail, response)
 
 
 def response_headers(opened: OpenAnswer) -> Headers:
--- a/src/bellweir/hosted/serving/client_request.py
+++ b/src/bellweir/hosted/serving/client_request.py
@@ -66,7 +66,7 @@
         return min(1.0, max(0.0, self.left_s() * MS_PER_S / max(1.0, self.route.timeout_ms)))
 
     @property
-    def may_be_sent_again(self) -> bool:
+    def is_replayable(self) -> bool:
         """Whether the body is buffered, so that the request can be retried."""
         return self.body is None or isinstance(self.body, bytes)
 
--- a/src/bellweir/hosted/serving/forwarding.py
+++ b/src/bellweir/hosted/serving/forwarding.py
@@ -134,12 +134,12 @@
             return self._error_response(client, progress, groups), progress
         progress.is_dispatching = self._is_gated(client)
         try:
-            answer = self._send_with_retries(client, groups, progress, cancellation)
+            response = self._send_with_retries(client, groups, progress, cancellation)
         finally:
             # In any case, or the gate would count the request against the capacity forever.
             self._end_dispatch(client, progress)
-        if answer is not None:
-            return _to_response(answer), progress
+        if response is not None:
+            return _to_response(response), progress
         return self._error_response(client, progress, groups), progress
 
     def _send_with_retries(
@@ -156,11 +156,11 @@
             if worker is None:
                 break
             outcome = self._attempt(client, worker, progress, cancellation)
-            answer = outcome.answer
-            if outcome.state is AttemptState.ANSWERED and answer is not None:
-                if answer.status < SERVER_ERROR or not self._is_idempotent(client):
-                    return answer
-                progress.failure = answer
+            response = outcome.response
+            if outcome.state is AttemptState.ANSWERED and response is not None:
+                if response.status < SERVER_ERROR or not self._is_idempotent(client):
+                    return response
+                progress.failure = response
         return progress.failure
 
     def _is_admitted(
@@ -216,7 +216,7 @@
             return None
         if progress.sends >= MAX_SENDS:
             return None
-        if progress.sends and not client.may_be_sent_again:
+        if progress.sends and not client.is_replayable:
             return None
         if len(progress.ran_at) >= max(1, client.route.max_attempts):
             return None
@@ -263,16 +263,16 @@
     ) -> float:
         """Return the timeout of an attempt; all the time left if no retry is possible."""
         attempts_left = client.route.max_attempts - len(progress.ran_at)
-        if not self._is_idempotent(client) or attempts_left <= 1 or not client.may_be_sent_again:
+        if not self._is_idempotent(client) or attempts_left <= 1 or not client.is_replayable:
             return left_s
         service = worker.entry.service
-        if not self._loads.may_try_again(service):
+        if not self._loads.may_retry(service):
             return left_s
-        p95_s = self._loads.fellows_slow_s(service) if self._uses_service_latency else 0.0
+        p95_s = self._loads.service_p95_s(service) if self._uses_service_latency else 0.0
         target_s = client.route.target_ms / MS_PER_S
         if p95_s:
             service_timeout_s = P95_TIMEOUT_FACTOR * p95_s
-            if self._loads.fellows_usual_s(service) <= (1 - TARGET_TIMEOUT_SHARE) * target_s:
+            if self._loads.service_median_s(service) <= (1 - TARGET_TIMEOUT_SHARE) * target_s:
                 # A retry after this point would likely miss the target, one before it meets it.
                 service_timeout_s = min(service_timeout_s, TARGET_TIMEOUT_SHARE * target_s)
             local_timeout_s = LOCAL_MEAN_TIMEOUT_FACTOR * self._loads.local_mean_s()
@@ -297,9 +297,9 @@
                 self.count_usage(client, self._now_s() - seconds)
             progress.ran_at.add(incarnation)
             progress.may_have_run = True
-        answer = outcome.answer
+        response = outcome.response
         is_answered = outcome.state is AttemptState.ANSWERED
-        if is_answered and (answer is None or answer.status < SERVER_ERROR):
+        if is_answered and (response is None or response.status < SERVER_ERROR):
             self._loads.record_success(incarnation, seconds)
             return
         failed = FailedAttempt(
@@ -370,5 +370,5 @@
     return Response(status, headers, b'{"error":"%s"}' % cause.encode())
 
 
-def _to_response(answer: BufferedResponse) -> Response:
-    return Response(answer.status, list(answer.headers), answer.body)
+def _to_response(response: BufferedResponse) -> Response:
+    return Response(response.status, list(response.headers), response.body)
--- a/src/bellweir/hosted/serving/selection.py
+++ b/src/bellweir/hosted/serving/selection.py
@@ -1,9 +1,8 @@
-"""Selects the worker for each attempt.
+"""Selects the worker for each attempt by requests in flight and latency.
 
-Workers are ranked by requests in flight and latency as seen by this process; one that refused or
-failed recently is penalized and chosen only if there is no other. With statistics shared between
-gateways, the requests and latencies seen by all of them count, ejected workers get only probes
-unless all are ejected, and retries stay within the service's retry budget.
+Workers that refused or failed recently are penalized: chosen only if there is no other. With
+statistics shared between gateways, ejected workers get only probes unless all are ejected, and
+retries stay within the service's retry budget.
 """
 
 import random
@@ -53,19 +52,19 @@
         self,
         own_zone: str,
         has_connection: Callable[[str], bool] = lambda _address: False,
-        sight: WorkerMonitor | None = None,
+        monitor: WorkerMonitor | None = None,
         *,
         uses_shared_stats: bool = True,
         choice_count: int = 0,
     ) -> None:
         """`has_connection` returns whether an idle connection to `host:port` is open.
 
-        `sight` is notified of each request; `uses_shared_stats`: rank by the requests of all
+        `monitor` is notified of each request; `uses_shared_stats`: rank by the requests of all
         gateways. Different initial values of `choice_count` keep gateways from making their
         choices by load alone at the same time.
         """
         self._choice_count = choice_count
-        self._sight = sight
+        self._monitor = monitor
         self._uses_shared_stats = uses_shared_stats
         self._local_mean_s = 0.0
         self._own_zone = own_zone
@@ -77,13 +76,13 @@
         self,
         workers: Iterable[Worker],
         tried: Collection[Incarnation],
-        pace_of: Callable[[Incarnation], float] | None = None,
+        event_time_of: Callable[[Incarnation], float] | None = None,
         *,
         is_budgeted: bool = True,
     ) -> Worker | None:
         """Acquire and return the best worker not tried yet.
 
-        With `pace_of` (seconds per step of the work, by incarnation) the fastest worker is the
+        With `event_time_of` (seconds per event, by incarnation) the fastest worker is the
         best; otherwise the one with the lowest expected latency.
 
         For a retry (`tried` not empty) the result is also None if all remaining workers are
@@ -91,18 +90,18 @@
         """
         now_s = time.monotonic()
         candidates = [worker for worker in workers if worker.incarnation not in tried]
-        if self._sight is not None:
-            candidates = _eligible(candidates, tried, self._sight, is_budgeted=is_budgeted)
+        if self._monitor is not None:
+            candidates = _eligible(candidates, tried, self._monitor, is_budgeted=is_budgeted)
         if not candidates:
             return None
         with self._lock:
             self._choice_count += 1
-            if pace_of is None:
+            if event_time_of is None:
                 candidates = self._fastest(candidates, now_s)
-            chosen = min(candidates, key=lambda worker: self._rank(worker, now_s, pace_of))
+            chosen = min(candidates, key=lambda worker: self._rank(worker, now_s, event_time_of))
             self._load(chosen.incarnation).in_flight += 1
-        if self._sight is not None:
-            begun = self._sight.record_retry if tried else self._sight.record_start
+        if self._monitor is not None:
+            begun = self._monitor.record_retry if tried else self._monitor.record_start
             begun(chosen.entry.service, chosen.incarnation)
         return chosen
 
@@ -110,8 +109,8 @@
         """Count a request in flight at a given worker."""
         with self._lock:
             self._load(worker.incarnation).in_flight += 1
-        if self._sight is not None:
-            self._sight.record_start(worker.entry.service, worker.incarnation)
+        if self._monitor is not None:
+            self._monitor.record_start(worker.entry.service, worker.incarnation)
 
     def in_flight(self, worker: Incarnation) -> int:
         """Return the number of this process's requests in flight at a worker."""
@@ -170,17 +169,17 @@
         """Return the moving average latency over all workers, timeouts included; 0 at first."""
         return self._local_mean_s
 
-    def may_try_again(self, service: str) -> bool:
+    def may_retry(self, service: str) -> bool:
         """Return whether the retry budget of a service allows another retry."""
-        return self._sight is None or self._sight.may_retry(service)
+        return self._monitor is None or self._monitor.may_retry(service)
 
-    def fellows_slow_s(self, service: str) -> float:
+    def service_p95_s(self, service: str) -> float:
         """Return the 95th percentile latency of a service's healthy workers; 0 while unknown."""
-        return 0.0 if self._sight is None else self._sight.service_p95_s(service)
+        return 0.0 if self._monitor is None else self._monitor.service_p95_s(service)
 
-    def fellows_usual_s(self, service: str) -> float:
+    def service_median_s(self, service: str) -> float:
         """Return the median latency of a service's healthy workers; 0 while unknown."""
-        return 0.0 if self._sight is None else self._sight.service_median_s(service)
+        return 0.0 if self._monitor is None else self._monitor.service_median_s(service)
 
     def mean_s(self, worker: Incarnation) -> float:
         """Return the moving average latency of a worker."""
@@ -207,8 +206,8 @@
             load.penalized_until_s = time.monotonic() + penalty_s
 
     def _report(self, worker: Incarnation, outcome: ObservedOutcome, seconds: float = 0.0) -> None:
-        if self._sight is not None:
-            self._sight.record_end(worker, outcome, seconds)
+        if self._monitor is not None:
+            self._monitor.record_end(worker, outcome, seconds)
 
     def _update_local_mean(self, seconds: float) -> None:
         mean_s = self._local_mean_s
@@ -223,15 +222,15 @@
         return self._loads.setdefault(worker, LocalWorkerStats())
 
     def _rank(
-        self, worker: Worker, now_s: float, pace_of: Callable[[Incarnation], float] | None
+        self, worker: Worker, now_s: float, event_time_of: Callable[[Incarnation], float] | None
     ) -> tuple[bool, float, bool, bool, float]:
         load = self._load(worker.incarnation)
         is_penalized = load.penalized_until_s > now_s
         in_flight, typical_s, slots = self._combined_load(worker, load)
         share = (in_flight + 1) / max(1, slots)
-        if pace_of is not None:
-            pace_s = pace_of(worker.incarnation) * (1 + BATCHING_SLOWDOWN * share)
-            return is_penalized, round(pace_s, 4), False, False, random.random()
+        if event_time_of is not None:
+            time_per_event_s = event_time_of(worker.incarnation) * (1 + BATCHING_SLOWDOWN * share)
+            return is_penalized, round(time_per_event_s, 4), False, False, random.random()
         expected_s = share * max(typical_s, 0.001)
         other_zone = worker.entry.zone != self._own_zone
         must_connect = not self._has_connection(worker.address)
@@ -246,10 +245,10 @@
         noticed.
         """
         by_load = self._choice_count % LOAD_ONLY_INTERVAL == 0
-        if self._sight is None or not self._uses_shared_stats or by_load:
+        if self._monitor is None or not self._uses_shared_stats or by_load:
             return workers
         healthy = [one for one in workers if self._load(one.incarnation).penalized_until_s <= now_s]
-        if any(self._sight.stats(one.incarnation).age_s == float("inf") for one in healthy):
+        if any(self._monitor.stats(one.incarnation).age_s == float("inf") for one in healthy):
             # A worker of unknown latency would get either all requests or none.
             return workers
         expected_times = [(self._expected_response_s(one), one) for one in healthy or workers]
@@ -266,25 +265,25 @@
     def _combined_load(self, worker: Worker, load: LocalWorkerStats) -> tuple[float, float, int]:
         """Return requests in flight, latency and slots by local, shared and self-reported load."""
         in_flight, typical_s, slots = float(load.in_flight), load.mean_s, worker.entry.slots
-        if self._sight is None:
+        if self._monitor is None:
             return in_flight, typical_s, slots
-        seen = self._sight.stats(worker.incarnation)
-        if self._uses_shared_stats and seen.age_s != float("inf"):
-            in_flight = max(in_flight, seen.in_flight)
-            typical_s = seen.median_s or typical_s
-        if seen.load is not None:
+        stats = self._monitor.stats(worker.incarnation)
+        if self._uses_shared_stats and stats.age_s != float("inf"):
+            in_flight = max(in_flight, stats.in_flight)
+            typical_s = stats.median_s or typical_s
+        if stats.load is not None:
             half_life_s = max(MIN_HALF_LIFE_S, typical_s)
-            reported = seen.load.requests * float(0.5 ** (seen.load_age_s / half_life_s))
+            reported = stats.load.requests * float(0.5 ** (stats.load_age_s / half_life_s))
             in_flight = max(in_flight, reported)
-            typical_s *= seen.load.slowness(seen.load_age_s)
-            slots = seen.load.slots or slots
+            typical_s *= stats.load.slowness(stats.load_age_s)
+            slots = stats.load.slots or slots
         return in_flight, typical_s, slots
 
 
 def _eligible(
     candidates: list[Worker],
     tried: Collection[Incarnation],
-    sight: WorkerMonitor,
+    monitor: WorkerMonitor,
     *,
     is_budgeted: bool,
 ) -> list[Worker]:
@@ -293,24 +292,24 @@
     A first attempt probes an ejected worker if a probe is due, and may go to an ejected worker if
     all are ejected. A retry does neither, since it would likely fail again.
     """
-    healthy = [one for one in candidates if not sight.stats(one.incarnation).is_ejected]
+    healthy = [one for one in candidates if not monitor.stats(one.incarnation).is_ejected]
     if tried:
-        return _within_budget(healthy, sight) if is_budgeted else healthy
+        return _within_budget(healthy, monitor) if is_budgeted else healthy
     if len(healthy) < len(candidates):
-        probe_candidates = (one for one in candidates if sight.may_probe(one.incarnation))
+        probe_candidates = (one for one in candidates if monitor.may_probe(one.incarnation))
         probe = next(probe_candidates, None)
         if probe is not None:
             return [probe]
     return healthy or candidates
 
 
-def _within_budget(candidates: list[Worker], sight: WorkerMonitor) -> list[Worker]:
+def _within_budget(candidates: list[Worker], monitor: WorkerMonitor) -> list[Worker]:
     """Drop the workers of services whose retry budget is spent."""
     allowed = {}
     for service in {one.entry.service for one in candidates}:
-        allowed[service] = sight.may_retry(service)
+        allowed[service] = monitor.may_retry(service)
         if not allowed[service]:
-            sight.record_retry_refused(service)
+            monitor.record_retry_refused(service)
     return [one for one in candidates if allowed[one.entry.service]]
 
 
--- a/src/bellweir/hosted/serving/service.py
+++ b/src/bellweir/hosted/serving/service.py
@@ -85,12 +85,12 @@
         """Start listening on all configured addresses."""
         registry = self._kernel.registry
         self._views = registry.find(names.VIEWS, ViewsService)
-        sight = registry.find(names.SIGHT, WorkerMonitorService).monitor
-        self._connections = WorkerConnections(self._platform.headers, sight.record_load)
+        monitor = registry.find(names.SIGHT, WorkerMonitorService).monitor
+        self._connections = WorkerConnections(self._platform.headers, monitor.record_load)
         self._loads = WorkerLoads(
             self._settings.node.zone,
             self._connections.has_idle,
-            sight,
+            monitor,
             uses_shared_stats=self._settings.sight.choose_by_all,
             choice_count=random.randrange(LOAD_ONLY_INTERVAL),
         )
@@ -99,7 +99,7 @@
         directory = Directory(membership, self._is_serving, self._settings.bounds.address_ttl_s)
         listen = self._settings.listen
         self._requests = self._serve(
-            self._request_application(sight), self._kernel.listeners.gateway
+            self._request_application(monitor), self._kernel.listeners.gateway
         )
         self._serve_at(listen.readiness, SimpleApplication(self._readiness))
         self._serve_at(listen.directory, SimpleApplication(directory.answer))
@@ -109,7 +109,7 @@
             self._apply_limits(table)
         self._kernel.executors.run_task("front-tidy", self._prune)
 
-    def _request_application(self, sight: WorkerMonitor) -> RequestApplication:
+    def _request_application(self, monitor: WorkerMonitor) -> RequestApplication:
         ledger = self._kernel.registry.find(names.LEDGER, Ledger)  # type: ignore[type-abstract]
         caller_watch = CallerWatch(self._kernel.executors)
         caller_watch.start()
@@ -119,7 +119,7 @@
             "Connections of clients with a request in hand.",
             lambda: float(self._requests.busy_connections() if self._requests else 0),
         )
-        self._room = ObservedCapacity(self._loads.in_flight, self._loads.mean_s, sight)
+        self._room = ObservedCapacity(self._loads.in_flight, self._loads.mean_s, monitor)
         gate = RequestGate(
             self._room,
             self._settings.room,
--- a/src/bellweir/hosted/serving/streams.py
+++ b/src/bellweir/hosted/serving/streams.py
@@ -76,7 +76,7 @@
     @property
     def may_resume(self) -> bool:
         """Whether another worker may run the request although one may have started it."""
-        return self.client.route.can_resume and self.client.may_be_sent_again
+        return self.client.route.can_resume and self.client.is_replayable
 
 
 class StreamForwarder:
@@ -139,9 +139,9 @@
         self, stream: _Stream, worker: Worker, attempt: OpenedAttempt
     ) -> BufferedResponse | None:
         state = attempt.state
-        answer = None
+        response = None
         if attempt.opened is not None:
-            answer = read_response(attempt.opened, attempt).answer
+            response = read_response(attempt.opened, attempt).response
         failed = FailedAttempt(
             stream.client.request_id,
             stream.sends,
@@ -152,12 +152,12 @@
             is_cancelled=stream.cancellation.cancelled.is_set(),
         )
         stream.cause = failed.record(self._loads)
-        return answer if state is AttemptState.ANSWERED else None
+        return response if state is AttemptState.ANSWERED else None
 
     def _next_worker(self, stream: _Stream) -> Worker | None:
         client = stream.client
-        ended = stream.cancellation.cancelled.is_set() or client.left_s() <= 0
-        if ended or stream.sends >= MAX_SENDS:
+        on_end = stream.cancellation.cancelled.is_set() or client.left_s() <= 0
+        if on_end or stream.sends >= MAX_SENDS:
             return None
         if stream.ran_at and not stream.may_resume:
             return None
@@ -170,13 +170,13 @@
         return None
 
     def _events(
-        self, stream: _Stream, opened: OpenAnswer, ended: Callable[[], None]
+        self, stream: _Stream, opened: OpenAnswer, on_end: Callable[[], None]
     ) -> Iterator[bytes]:
         try:
             current: OpenAnswer | BufferedResponse | None = opened
             while isinstance(current, OpenAnswer):
-                whole = yield from self._forward_events(stream, current)
-                if whole:
+                is_complete = yield from self._forward_events(stream, current)
+                if is_complete:
                     self._record_outcome(stream, opened.status)
                     return
                 if stream.cancellation.cancelled.is_set() or not stream.may_resume:
@@ -185,14 +185,14 @@
                 self._log_resumption(stream, current)
             raise StreamBrokenError(stream.cause)
         finally:
-            ended()
+            on_end()
 
     def _forward_events(self, stream: _Stream, opened: OpenAnswer) -> Generator[bytes, None, bool]:
         """Yield complete events; return whether the stream ended properly."""
         worker = stream.worker
         splitter = EventSplitter(self._connections.headers.weight_versions)
         opened.ends_with_connection = False
-        whole = False
+        is_complete = False
         try:
             if stream.may_resume:
                 opened.set_timeout(EVENT_TIMEOUT_S)
@@ -203,23 +203,23 @@
                         stream.last_event_id = event.event_id
                 if stream.may_resume:
                     opened.set_timeout(min(EVENT_TIMEOUT_S, max(0.0, stream.client.left_s())))
-            whole = splitter.is_between_events
+            is_complete = splitter.is_between_events
         except (OSError, http.client.HTTPException, EventTooLongError) as failure:
             stream.cause = f"stream_broken: {failure!r}"[:120]
         finally:
-            self._end_attempt(stream, worker, opened, whole=whole)
-        return whole
+            self._end_attempt(stream, worker, opened, is_complete=is_complete)
+        return is_complete
 
     def _end_attempt(
-        self, stream: _Stream, worker: Worker | None, opened: OpenAnswer, *, whole: bool
+        self, stream: _Stream, worker: Worker | None, opened: OpenAnswer, *, is_complete: bool
     ) -> None:
-        if whole:
+        if is_complete:
             opened.finish()
         else:
             opened.drop()
         if worker is None:
             return
-        if whole:
+        if is_complete:
             self._loads.release(worker.incarnation, ObservedOutcome.SERVED, stream.head_s)
         elif stream.cancellation.cancelled.is_set():
             self._loads.release(worker.incarnation)
