--- a/features/steps/hosted_batches_steps.py
+++ b/features/steps/hosted_batches_steps.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 
 from bellweir.hosted.batches.progress import EventsMissingError, ItemProgress
-from bellweir.hosted.batches.refusals import LONGEST_LOAD_S, PAUSE_S, RefusalBackoff
+from bellweir.hosted.batches.refusals import MAX_WEIGHT_LOAD_S, REFUSAL_BACKOFF_S, RefusalBackoff
 from bellweir.hosted.batches.state import (
     AcceptJob,
     BatchJobs,
@@ -24,7 +24,7 @@
 )
 from bellweir.hosted.batches.text_compression import compress_text
 from bellweir.hosted.batches.worker_quarantine import (
-    LONGEST_PAUSE_S,
+    MAX_BACKOFF_S,
     WorkerQuarantine,
     max_server_errors,
 )
@@ -228,7 +228,7 @@
 
 @given_step("the first item finds no worker since all of them failed it")
 def given_unplaced(context):
-    choice = context.leader.coordinator._choice
+    choice = context.leader.coordinator._worker_selector
     acquire_worker, context.unplaced = choice.acquire_worker, set()
 
     def take(progress, table):
@@ -260,7 +260,7 @@
     )
     progress = ItemProgress(job, route, job.items[0])
     progress.versions, progress.pieces, progress.events = [1], ["a"], 1
-    choice = context.leader.coordinator._choice
+    choice = context.leader.coordinator._worker_selector
     table = context.leader.coordinator._configuration.table()
     assert choice.acquire_worker(progress, table) is None
     choice.restart_if_version_gone(progress)
@@ -307,20 +307,20 @@
                 now_s += seconds
             elif what == "load":
                 guard.on_load_update(worker, "m", seconds)
-                closed_until_s = max(closed_until_s, now_s + min(seconds, LONGEST_LOAD_S))
+                closed_until_s = max(closed_until_s, now_s + min(seconds, MAX_WEIGHT_LOAD_S))
                 is_open = False
             elif what == "load_ended":
                 guard.on_load_update(worker, "m", 0.0)
                 closed_until_s, is_open = 0.0, True
             else:
-                guard.refused(worker, "m")
-                closed_until_s, is_open = max(closed_until_s, now_s + PAUSE_S), False
+                guard.record_refusal(worker, "m")
+                closed_until_s, is_open = max(closed_until_s, now_s + REFUSAL_BACKOFF_S), False
             assert guard.may_start(worker, "m") == (is_open or now_s >= closed_until_s)
             assert guard.may_start(Incarnation("i", 8), "m"), "a later start of it"
         if not is_open and guard.may_start(worker, "m"):
-            guard.started(worker, "m")
+            guard.record_start(worker, "m")
             assert not guard.may_start(worker, "m")
-            guard.accepted(worker, "m")
+            guard.record_accepted(worker, "m")
             assert guard.may_start(worker, "m")
 
     no_requests_in_load()
@@ -336,7 +336,7 @@
 
 @then("after a refusal one request at a time is sent until the worker accepts one")
 def then_one_at_a_time(context):
-    ending = st.sampled_from(("accepted", "refused", "ended"))
+    ending = st.sampled_from(("record_accepted", "record_refusal", "record_end"))
 
     @settings(max_examples=200)
     @given(steps=st.lists(st.tuples(st.booleans(), ending, st.floats(0, 0.2)), max_size=40))
@@ -348,18 +348,18 @@
         for begins, how, passed_s in steps:
             now_s[0] += passed_s
             if begins and guard.may_start(worker, "m"):
-                guard.started(worker, "m")
+                guard.record_start(worker, "m")
                 in_flight += 1
                 if refused_s is not None:
-                    assert now_s[0] >= refused_s + PAUSE_S
+                    assert now_s[0] >= refused_s + REFUSAL_BACKOFF_S
                     assert begun <= ended, "a second request while one is unanswered"
                     begun += 1
             elif in_flight and not begins:
                 in_flight -= 1
                 getattr(guard, how)(worker, "m")
-                ended += how == "ended"
-                if how != "ended":
-                    refused_s = now_s[0] if how == "refused" else None
+                ended += how == "record_end"
+                if how != "record_end":
+                    refused_s = now_s[0] if how == "record_refusal" else None
                     begun = ended = 0
         assert guard.may_start(worker, "other")
 
@@ -384,12 +384,12 @@
         for worker, serves, number, passed_s in answers:
             now_s += passed_s + 0.001
             if serves:
-                quarantine.succeeded(worker, now_s)
+                quarantine.record_success(worker, now_s)
                 failed[worker] = []
             else:
-                quarantine.started(worker, f"item-{number}")
-                quarantine.failed(worker, f"item-{number}")
-                quarantine.ended(worker, f"item-{number}")
+                quarantine.record_start(worker, f"item-{number}")
+                quarantine.record_failure(worker, f"item-{number}")
+                quarantine.record_end(worker, f"item-{number}")
                 failed[worker].append(number)
             closed = [
                 one for one in SERVICE_WORKERS if not quarantine.may_start(one, SERVICE_WORKERS)
@@ -397,16 +397,16 @@
             assert len(closed) <= len(SERVICE_WORKERS) / 2
             for one in closed:
                 assert len(set(failed[one])) >= 2, "quarantined for fewer than two items"
-        now_s += LONGEST_PAUSE_S
+        now_s += MAX_BACKOFF_S
         for one in SERVICE_WORKERS:
             assert quarantine.may_start(one, SERVICE_WORKERS), "not probed again"
-            quarantine.started(one, "trial")
+            quarantine.record_start(one, "trial")
             if one in quarantine.failing_workers(SERVICE_WORKERS) and not quarantine.may_start(
                 one, SERVICE_WORKERS
             ):
-                quarantine.ended(one, "trial")
+                quarantine.record_end(one, "trial")
                 assert quarantine.may_start(one, SERVICE_WORKERS)
-            quarantine.succeeded(one, now_s)
+            quarantine.record_success(one, now_s)
             assert quarantine.may_start(one, SERVICE_WORKERS)
 
     quarantined()
@@ -425,8 +425,8 @@
         quarantine = WorkerQuarantine(lambda: now_s)
         service_workers = [Incarnation(f"i-{number}") for number in range(6)]
         for worker in service_workers[:broken]:
-            quarantine.failed(worker, "another")
-            quarantine.failed(worker, "a third")
+            quarantine.record_failure(worker, "another")
+            quarantine.record_failure(worker, "a third")
         failures = []
         for number in workers:
             is_exhausted = quarantine.has_exhausted_retries(failures, allowed, service_workers)
--- a/features/support/kept_jobs.py
+++ b/features/support/job_replicas.py
@@ -18,7 +18,7 @@
         self.shard = shard
         self.machine = machine
         self.applied = len(shard.log)
-        self.stood_s = 0.0
+        self.suspended_s = 0.0
         """Time for which its monotonic clock stood still, as on a suspended machine."""
         self.begin()
 
@@ -26,9 +26,9 @@
         self.retention = JobRetention(self, STATUS_S, self.now_s)
 
     def now_s(self):
-        return self.shard.now_s - self.stood_s
+        return self.shard.now_s - self.suspended_s
 
-    def start_anew(self):
+    def restart(self):
         saved, self.machine = self.machine.save(), BatchJobs()
         self.machine.load(saved)
         self.begin()
@@ -81,7 +81,7 @@
         self.append(EndJob(job_id, gateway_s))
         self.ended_s[job_id] = self.now_s
 
-    def look(self):
+    def check_retention(self):
         """Let all replicas catch up and check for expired jobs."""
         for replica in self.replicas:
             replica.catch_up()
--- a/src/bellweir/hosted/batches/attempts.py
+++ b/src/bellweir/hosted/batches/attempts.py
@@ -138,11 +138,11 @@
             state = opened.state
         finally:
             if state is AttemptState.ANSWERED:
-                self.refusal_backoff.accepted(worker.incarnation, model)
+                self.refusal_backoff.record_accepted(worker.incarnation, model)
             elif state is AttemptState.REFUSED:
-                self.refusal_backoff.refused(worker.incarnation, model)
+                self.refusal_backoff.record_refusal(worker.incarnation, model)
             else:
-                self.refusal_backoff.ended(worker.incarnation, model)
+                self.refusal_backoff.record_end(worker.incarnation, model)
         return opened
 
     def _end_cancelled(
@@ -270,7 +270,7 @@
         outcome = self._connections.call(
             worker, call, SCORING_TIMEOUT_S, SCORING_DEADLINE_MS, cancellation
         )
-        answer = outcome.answer
+        answer = outcome.response
         if cancellation.cancelled.is_set() and answer is None:
             self._end_cancelled(progress, worker, None)
             return
@@ -301,14 +301,14 @@
             self._fail_if_exhausted(progress, maximum_failures, worker)
 
     def _record_success(self, worker: Worker, began_s: float) -> None:
-        if self.quarantine.succeeded(worker.incarnation, began_s):
+        if self.quarantine.record_success(worker.incarnation, began_s):
             emit(WORKER_SERVES_AGAIN, instance=worker.instance)
 
     def _record_failure(self, progress: ItemProgress, worker: Worker, status: int) -> None:
         """Record an error status; client errors (below 500) say nothing about the worker."""
         if status < SERVER_ERROR:
             return
-        failures = self.quarantine.failed(worker.incarnation, progress.item.id)
+        failures = self.quarantine.record_failure(worker.incarnation, progress.item.id)
         service_workers = self.service_workers_of(worker)
         failing = self.quarantine.failing_workers(service_workers)
         if worker.incarnation in failing:
--- a/src/bellweir/hosted/batches/coordinator.py
+++ b/src/bellweir/hosted/batches/coordinator.py
@@ -60,9 +60,11 @@
         self._progress: dict[ItemKey, ItemProgress] = {}
         self._running: dict[ItemKey, Run] = {}
         self._text_cache = TextCache()
-        self._choice = WorkerSelector(workers, loads, attempts, policy)
+        self._worker_selector = WorkerSelector(workers, loads, attempts, policy)
         self._mover = RunMover(attempts)
-        self._queue = StepScheduler(attempts.predicted_events_or_none, self._choice.event_times_of)
+        self._step_scheduler = StepScheduler(
+            attempts.predicted_events_or_none, self._worker_selector.event_times_of
+        )
         self._leading = False
         self._wake = threading.Event()
 
@@ -95,9 +97,9 @@
         if table is not None:
             with self._lock:
                 running = list(self._running.values())
-            self._choice.begin_round(running, table)
+            self._worker_selector.begin_round(running, table)
             if self._policy.move_runs:
-                self._mover.move_runs(running, self._choice.move_targets)
+                self._mover.move_runs(running, self._worker_selector.move_targets)
             self._start_waiting(jobs, table)
 
     def _start_waiting(self, jobs: list[JobState], table: RouteTable) -> None:
@@ -109,9 +111,9 @@
         for progress in self._waiting(jobs, table):
             kind = (progress.job.id, progress.stage)
             if kind not in full and not self._start(progress, table):
-                if not self._choice.has_own_constraints(progress):
+                if not self._worker_selector.has_own_constraints(progress):
                     full.add(kind)
-                self._choice.restart_if_version_gone(progress)
+                self._worker_selector.restart_if_version_gone(progress)
 
     def _step_down(self) -> None:
         with self._lock:
@@ -161,14 +163,14 @@
         if self._policy.order_by_need:
             with self._lock:
                 known, running = dict(self._progress), list(self._running)
-            self._queue.update(steps, known, running, table)
+            self._step_scheduler.update(steps, known, running, table)
             waiting.sort(key=self._rank)
         return waiting
 
     def _rank(self, progress: ItemProgress) -> int:
         """Sort key among the items of all jobs: items already started go first."""
         is_begun = progress.stage is not Stage.GENERATION or progress.moved_to is not None
-        return -1 if is_begun else self._queue.rank(progress)
+        return -1 if is_begun else self._step_scheduler.rank(progress)
 
     def _urgency(self, progress: ItemProgress) -> tuple[bool, bool, float]:
         """Sort key in a job: scoring first, then moved generations, then the longest remainder."""
@@ -213,11 +215,13 @@
 
     def _start(self, progress: ItemProgress, table: RouteTable) -> bool:
         """Start an item's next attempt unless it has to wait; False if no slot is free."""
-        worker = self._choice.acquire_worker(progress, table)
+        worker = self._worker_selector.acquire_worker(progress, table)
         progress.moved_to = None
         if worker is None:
-            return self._choice.is_held
-        progress.urgency = self._queue.urgency(progress) if self._policy.tell_urgency else None
+            return self._worker_selector.is_held
+        progress.urgency = (
+            self._step_scheduler.urgency(progress) if self._policy.tell_urgency else None
+        )
         key = (progress.job.id, progress.item.id)
         run = Run(progress, worker, Cancellation(), time.monotonic())
         with self._lock:
@@ -233,8 +237,8 @@
             )
         except (ExecutorSaturatedError, RuntimeError):
             self._loads.release(worker.incarnation)
-            self._attempts.refusal_backoff.ended(worker.incarnation, progress.job.model)
-            self._attempts.quarantine.ended(worker.incarnation, progress.item.id)
+            self._attempts.refusal_backoff.record_end(worker.incarnation, progress.job.model)
+            self._attempts.quarantine.record_end(worker.incarnation, progress.item.id)
             with self._lock:
                 self._running.pop(key, None)
             return False
@@ -252,7 +256,7 @@
             self._loads.release(worker.incarnation)
             raise
         finally:
-            self._attempts.quarantine.ended(worker.incarnation, progress.item.id)
+            self._attempts.quarantine.record_end(worker.incarnation, progress.item.id)
             with self._lock:
                 self._running.pop(key, None)
                 is_wanted = self._progress.get(key) is progress
--- a/src/bellweir/hosted/batches/service.py
+++ b/src/bellweir/hosted/batches/service.py
@@ -113,8 +113,8 @@
         while not stopping.wait(CLEANUP_INTERVAL_S):
             workers = self._views.workers.all()
             incarnations = {worker.incarnation for worker in workers}
-            self._loads.forget_others(incarnations)
+            self._loads.retain(incarnations)
             self._attempts.refusal_backoff.retain(incarnations)
             self._attempts.quarantine.retain(incarnations)
             self._attempts.event_times.retain(incarnations)
-            self._connections.forget_others({worker.address for worker in workers})
+            self._connections.retain({worker.address for worker in workers})
