--- a/features/support/record_build.py
+++ b/features/support/record_build.py
@@ -117,7 +117,7 @@
         "commands": commands,
         "journal": files,
         "entries_applied": applied,
-        "listed": {job_id: sorted(state.listed) for job_id, state in sorted(jobs.items())},
+        "listed": {job_id: sorted(state.recorded_ids) for job_id, state in sorted(jobs.items())},
         "snapshot": packed(machines.save()),
     }
     out.write_text(json.dumps(record, indent=1, sort_keys=True) + "\n", encoding="utf-8")
