--- a/src/bellweir/hosted/batches/attempts.py
+++ b/src/bellweir/hosted/batches/attempts.py
@@ -111,7 +111,7 @@
         )
         began_s = time.monotonic()
         progress.last_event_s = progress.checkpointed_s = began_s
-        opened = self._open_text(progress, worker, cancellation)
+        opened = self._open_generation(progress, worker, cancellation)
         if cancellation.cancelled.is_set():
             self._end_cancelled(progress, worker, opened.opened)
         elif opened.opened is None or opened.state is not AttemptState.ANSWERED:
@@ -121,7 +121,7 @@
         else:
             self._read_events(progress, worker, opened.opened, began_s, cancellation)
 
-    def _open_text(
+    def _open_generation(
         self, progress: ItemProgress, worker: Worker, cancellation: Cancellation
     ) -> OpenedAttempt:
         """Send the generation request, and record whether the worker accepted it."""
@@ -130,7 +130,7 @@
         try:
             opened = self._connections.open(
                 worker,
-                _text_call(progress, self._connections.headers),
+                _generation_call(progress, self._connections.headers),
                 FIRST_EVENT_TIMEOUT_S,
                 GENERATION_DEADLINE_MS,
                 cancellation,
@@ -343,7 +343,7 @@
     return ()
 
 
-def _text_call(progress: ItemProgress, names: HeaderNames) -> WorkerCall:
+def _generation_call(progress: ItemProgress, names: HeaderNames) -> WorkerCall:
     headers = list(progress.item.headers)
     if progress.job.tenant:
         headers.append((names.tenant, progress.job.tenant))
