--- a/src/bellweir/hosted/sight/interface.py
+++ b/src/bellweir/hosted/sight/interface.py
@@ -18,8 +18,7 @@
     FAILED = "failed"
     """A failure of the worker, a truncated answer, or a timeout."""
     LATE = "late"
-    """Given up because it took longer than the service's workers usually take; counts as a failure.
-    """
+    """Given up for taking longer than the service's workers usually do; counts as a failure."""
     REFUSED = "refused"
     """The worker answered that it did not run the request."""
     UNKNOWN = "unknown"
