--- a/features/steps/hosted_moves_steps.py
+++ b/features/steps/hosted_moves_steps.py
@@ -54,22 +54,23 @@
             for name, free_slots in free_by_worker.items()
         ]
         planned = plan_moves(forecasts, targets)
-        assert len({move.run.key for move in planned}) == len(planned), "a run moved twice"
+        assert len({move.forecast.key for move in planned}) == len(planned), "a run moved twice"
         for name, free_slots in free_by_worker.items():
             assert sum(move.target == name for move in planned) <= free_slots
         for move in planned:
-            assert move.target != move.run.worker
+            assert move.target != move.forecast.worker
             assert move.target in free_by_worker
             gain_s = (
-                move.run.remaining_events * (move.run.time_per_event_s - event_times[move.target])
+                move.forecast.remaining_events
+                * (move.forecast.time_per_event_s - event_times[move.target])
                 - MOVE_COST_S
             )
-            assert move.run.is_silent or gain_s >= MIN_GAIN_S
+            assert move.forecast.is_silent or gain_s >= MIN_GAIN_S
         left = {
             name: free_slots - sum(m.target == name for m in planned)
             for name, free_slots in free_by_worker.items()
         }
-        stayed = {forecast.key for forecast in forecasts} - {move.run.key for move in planned}
+        stayed = {forecast.key for forecast in forecasts} - {move.forecast.key for move in planned}
         for forecast in forecasts:
             if forecast.key in stayed and forecast.is_silent:
                 others = [
--- a/src/bellweir/hosted/batches/move_planning.py
+++ b/src/bellweir/hosted/batches/move_planning.py
@@ -72,10 +72,10 @@
 class PlannedMove(Generic[Key]):
     """A run, the worker that it moves to and the cause."""
 
-    __slots__ = ("cause", "run", "target")
+    __slots__ = ("cause", "forecast", "target")
 
-    def __init__(self, run: RunForecast[Key], target: Incarnation, cause: str) -> None:
-        self.run = run
+    def __init__(self, forecast: RunForecast[Key], target: Incarnation, cause: str) -> None:
+        self.forecast = forecast
         self.target = target
         self.cause = cause
 
--- a/src/bellweir/hosted/batches/run_mover.py
+++ b/src/bellweir/hosted/batches/run_mover.py
@@ -61,15 +61,15 @@
         if now_s < self._next_check_s:
             return
         self._next_check_s = now_s + CHECK_INTERVAL_S
-        texts = [
+        generating = [
             run
             for run in runs
             if run.progress.stage is Stage.TEXT and not run.cancellation.cancelled.is_set()
         ]
-        silent = self._silent_workers(texts, now_s)
+        silent = self._silent_workers(generating, now_s)
         # A run stays within its service, so that split routes keep their weights.
         groups: dict[tuple[str, str], list[Run]] = {}
-        for run in texts:
+        for run in generating:
             key = (run.progress.job.id, run.worker.entry.service)
             groups.setdefault(key, []).append(run)
         claimed: dict[Incarnation, int] = {}
@@ -114,7 +114,7 @@
             has_events[worker] = (
                 has_events.get(worker, False) or not self._forecast(run, now_s).is_silent
             )
-        return {worker for worker, is_heard in has_events.items() if not is_heard}
+        return {worker for worker, has_any in has_events.items() if not has_any}
 
     def _forecast(self, run: Run, now_s: float) -> RunForecast[Run]:
         progress = run.progress
@@ -127,7 +127,7 @@
         return RunForecast(run, run.worker.incarnation, time_per_event_s, silent_s, remaining)
 
     def _move(self, move: PlannedMove[Run], now_s: float) -> None:
-        forecast, run = move.run, move.run.key
+        forecast, run = move.forecast, move.forecast.key
         progress = run.progress
         emit(
             ITEM_MOVED,
--- a/src/bellweir/hosted/batches/worker_selection.py
+++ b/src/bellweir/hosted/batches/worker_selection.py
@@ -126,7 +126,9 @@
             or not forecast.has_uneven_speeds(eligible)
         ):
             return self._loads.choose(available, (), time_per_event_of)
-        busy = [one for one in eligible if self._loads.in_flight(one.incarnation) >= one.entry.slots]
+        busy = [
+            one for one in eligible if self._loads.in_flight(one.incarnation) >= one.entry.slots
+        ]
         chosen = forecast.choose(available, busy, progress)
         if chosen is not None:
             self._loads.acquire(chosen)
