--- a/bench/step_replay.py
+++ b/bench/step_replay.py
@@ -89,19 +89,19 @@
     __slots__ = (
         "end_s",
         "engine",
+        "estimated_events",
         "events",
         "group",
-        "guess",
         "is_complete",
         "name",
         "waiting_since_s",
     )
 
-    def __init__(self, name: str, group: str, events: int, guess: float) -> None:
+    def __init__(self, name: str, group: str, events: int, estimated_events: float) -> None:
         self.name = name
         self.group = group
         self.events = events
-        self.guess = guess
+        self.estimated_events = estimated_events
         self.engine: int | None = None
         self.end_s = 0.0
         self.is_complete = False
@@ -110,8 +110,8 @@
     def remaining_events(self, now_s: float) -> float:
         """Expected remaining events."""
         if self.is_complete or self.engine is None or self.end_s <= now_s:
-            return 0.0 if self.is_complete else self.guess
-        return min(self.guess, max(1.0, self.guess * 0.5))
+            return 0.0 if self.is_complete else self.estimated_events
+        return min(self.estimated_events, max(1.0, self.estimated_events * 0.5))
 
 
 class Step:
@@ -178,9 +178,9 @@
             for item in range(trainer.items):
                 mean = trainer.events * self.load.events_factor
                 events = max(1, round(mean * self.random.lognormvariate(-0.1, 0.45)))
-                guess = events * self.random.lognormvariate(0.0, 0.3)
+                estimated_events = events * self.random.lognormvariate(0.0, 0.3)
                 name = f"{trainer.name}-{number}-{group}-{item}"
-                result.append((name, f"{trainer.name}-{number}-{group}", events, guess))
+                result.append((name, f"{trainer.name}-{number}-{group}", events, estimated_events))
         return result
 
     def run(self) -> None:
@@ -274,7 +274,11 @@
         block_numbers = number_blocks(self.order.order(list(self._demands(now_s)), pool, now_s))
         ordered = sorted(
             waiting.values(),
-            key=lambda one: (block_numbers[one[0].job, one[1].group], -one[1].guess, one[1].name),
+            key=lambda one: (
+                block_numbers[one[0].job, one[1].group],
+                -one[1].estimated_events,
+                one[1].name,
+            ),
         )
         engines = [
             EngineState(number, event_time_s, self.slots, self._end_times_s(number))
@@ -283,7 +287,9 @@
         texts = []
         for _, text in ordered:
             text.waiting_since_s = now_s if text.waiting_since_s is None else text.waiting_since_s
-            texts.append(TextDemand(text.name, text.guess, waited_s=now_s - text.waiting_since_s))
+            texts.append(
+                TextDemand(text.name, text.estimated_events, waited_s=now_s - text.waiting_since_s)
+            )
         for placed in self.placement.place(texts, engines, now_s):
             if placed.starts_now:
                 self._start(waiting[placed.key][1], placed.engine, now_s)
--- a/features/steps/hosted_steps_steps.py
+++ b/features/steps/hosted_steps_steps.py
@@ -40,11 +40,11 @@
 TIME_PER_EVENT_S = 0.1
 
 
-def steps_strategy(most_groups, tenants=("a", "b")):
+def steps_strategy(max_groups, tenants=("a", "b")):
     group = st.tuples(st.integers(1, 60), st.floats(0.1, 1.0), st.integers(0, 3), st.integers(0, 3))
     step = st.tuples(
         st.floats(-3.0, 9.0),
-        st.lists(group, max_size=most_groups),
+        st.lists(group, max_size=max_groups),
         st.integers(0, 4),
         st.integers(4, 6) if len(tenants) > 1 else st.just(5),
         st.sampled_from(tenants),
--- a/src/bellweir/hosted/batches/refusals.py
+++ b/src/bellweir/hosted/batches/refusals.py
@@ -22,15 +22,15 @@
 
 REFUSAL_BACKOFF_S = 0.12
 MAX_WEIGHT_LOAD_S = 5.0
-"""Upper bound of the backoff: the message that a load has ended may be lost."""
+"""Upper bound of an announced backoff: the message that a load has ended may be lost."""
 
 
 class _Backoff:
-    __slots__ = ("is_probed", "until_s")
+    __slots__ = ("is_probing", "until_s")
 
     def __init__(self, until_s: float) -> None:
         self.until_s = until_s
-        self.is_probed = False
+        self.is_probing = False
 
 
 class RefusalBackoff(LoadListener):
@@ -52,7 +52,7 @@
         """Return whether a run of a model may be sent to a worker now."""
         with self._lock:
             backoff = self._backoffs.get((worker, model))
-            return backoff is None or (not backoff.is_probed and self._now_s() >= backoff.until_s)
+            return backoff is None or (not backoff.is_probing and self._now_s() >= backoff.until_s)
 
     def paused_worker_count(self) -> int:
         """Number of workers that get no runs of some model now."""
@@ -65,7 +65,7 @@
         with self._lock:
             backoff = self._backoffs.get((worker, model))
             if backoff is not None:
-                backoff.is_probed = True
+                backoff.is_probing = True
 
     def record_accepted(self, worker: Incarnation, model: str) -> None:
         """Record that the worker accepted a run, which ends the backoff."""
@@ -98,7 +98,7 @@
         with self._lock:
             backoff = self._backoffs.get((worker, model))
             if backoff is not None:
-                backoff.is_probed = False
+                backoff.is_probing = False
 
     def retain(self, incarnations: set[Incarnation]) -> None:
         """Drop the state of all other workers."""
