--- a/features/steps/hosted_clocks_steps.py
+++ b/features/steps/hosted_clocks_steps.py
@@ -9,10 +9,10 @@
 from behave import given as given_step
 from behave import then, when
 from features.support.hosted_jobs import make_job, make_leader
-from features.support.kept_jobs import STATUS_S, Shard
+from features.support.job_replicas import STATUS_S, Shard
 from hypothesis import given, settings
 
-from bellweir.hosted.batches.retention import COUNT_PERIOD_S, LOOK_PERIOD_S
+from bellweir.hosted.batches.retention import CHECK_INTERVAL_S, COUNT_INTERVAL_S
 from bellweir.hosted.batches.state import AcceptJob, BatchJobs, EndJob, ForgetJobs, ReadResults
 
 CHECK_TIMEOUT_S = 15.0
@@ -50,10 +50,10 @@
 
 
 WALL_CLOCKS_S = (-1e9, 0.0, 1e9, 1e12)
-MAX_STEADY_RETENTION_S = STATUS_S + 2 * (COUNT_PERIOD_S + LOOK_PERIOD_S)
+MAX_STEADY_RETENTION_S = STATUS_S + 2 * (COUNT_INTERVAL_S + CHECK_INTERVAL_S)
 """Upper bound of the retention time with instant commits and a stable leader."""
-MAX_RETENTION_S = STATUS_S * (1 + LOOK_PERIOD_S / COUNT_PERIOD_S) + 2 * (
-    COUNT_PERIOD_S + LOOK_PERIOD_S
+MAX_RETENTION_S = STATUS_S * (1 + CHECK_INTERVAL_S / COUNT_INTERVAL_S) + 2 * (
+    COUNT_INTERVAL_S + CHECK_INTERVAL_S
 )
 """Upper bound if the leader changes at each count."""
 
@@ -98,19 +98,19 @@
             shard.now_s += value
         case "go on":
             for _ in range(value):
-                shard.now_s += COUNT_PERIOD_S
-                shard.leader.retention.look()
+                shard.now_s += COUNT_INTERVAL_S
+                shard.leader.retention.check()
         case "look":
-            shard.replicas[value].retention.look()
+            shard.replicas[value].retention.check()
         case "lead":
             shard.leader = shard.replicas[value]
             shard.leader.catch_up()
         case "anew":
-            shard.replicas[value].start_anew()
+            shard.replicas[value].restart()
         case "catch up":
             shard.replicas[value].catch_up()
         case "stand still":
-            shard.replicas[value].stood_s += 3.0
+            shard.replicas[value].suspended_s += 3.0
             shard.now_s += 3.0
         case "lose":
             shard.loses = value
@@ -126,12 +126,12 @@
     for checks_led in (1, 2, 5, 1_000):
         shard = Shard()
         for number in range(200):
-            shard.now_s += LOOK_PERIOD_S
+            shard.now_s += CHECK_INTERVAL_S
             if number % 7 == 0:
                 shard.end_job(WALL_CLOCKS_S[number % len(WALL_CLOCKS_S)])
             shard.leader = shard.replicas[number // checks_led % 3]
             shard.leader.catch_up()
-            shard.look()
+            shard.check_retention()
             shard.check_kept()
             for job_id in shard.leader.machine.jobs:
                 latest_s = MAX_STEADY_RETENTION_S if checks_led == 1_000 else MAX_RETENTION_S
@@ -143,23 +143,23 @@
     context.shard = shard = Shard()
     first, second = shard.replicas[:2]
     shard.end_job(0.0)
-    shard.now_s += COUNT_PERIOD_S
-    shard.look()
+    shard.now_s += COUNT_INTERVAL_S
+    shard.check_retention()
     leads = first.leads
 
     def pausing_leads(key):
         is_leading = leads(key)
         shard.leader = second
-        while shard.age_s("job-0") < STATUS_S - COUNT_PERIOD_S:
-            shard.now_s += COUNT_PERIOD_S
+        while shard.age_s("job-0") < STATUS_S - COUNT_INTERVAL_S:
+            shard.now_s += COUNT_INTERVAL_S
             second.catch_up()
-            second.retention.look()
+            second.retention.check()
         first.catch_up()
         return is_leading
 
     with patch.object(first, "leads", pausing_leads):
-        shard.now_s += COUNT_PERIOD_S
-        first.retention.look()
+        shard.now_s += COUNT_INTERVAL_S
+        first.retention.check()
 
 
 @then("the job that ended before is kept for its full retention time")
@@ -171,16 +171,16 @@
 def then_bounded(context):
     shard, largest = Shard(1), 0
     for _ in range(2_000):
-        shard.now_s += LOOK_PERIOD_S
+        shard.now_s += CHECK_INTERVAL_S
         shard.end_job(0.0)
-        shard.look()
+        shard.check_retention()
         machine = shard.leader.machine
-        assert machine.kept.since_ms.keys() <= machine.jobs.keys(), (
+        assert machine.retention_clock.since_ms.keys() <= machine.jobs.keys(), (
             "a forgotten job is still counted"
         )
         largest = max(largest, len(machine.jobs))
-    assert largest <= MAX_STEADY_RETENTION_S / LOOK_PERIOD_S + 1, largest
-    encoded_bytes = len(msgspec.json.encode(machine.kept))
+    assert largest <= MAX_STEADY_RETENTION_S / CHECK_INTERVAL_S + 1, largest
+    encoded_bytes = len(msgspec.json.encode(machine.retention_clock))
     assert encoded_bytes <= 64 * (len(machine.jobs) + 1), encoded_bytes
 
 
@@ -206,8 +206,8 @@
     shard.append(old_command)
     began_s = shard.now_s
     while "job-0" in shard.leader.machine.jobs:
-        shard.now_s += LOOK_PERIOD_S
-        shard.look()
+        shard.now_s += CHECK_INTERVAL_S
+        shard.check_retention()
         shard.check_kept()
         assert shard.now_s - began_s <= MAX_RETENTION_S
 
@@ -222,10 +222,16 @@
     shard.leader = uncounted
     shard.end_job(1.0)
     advance(shard, 5.0)
-    assert 0 < uncounted.machine.kept.counted_ms < counted.machine.kept.counted_ms
+    assert (
+        0
+        < uncounted.machine.retention_clock.counted_ms
+        < counted.machine.retention_clock.counted_ms
+    )
     shard.leader = counted
     advance(shard, 5.0)
-    assert uncounted.machine.kept.counted_ms == counted.machine.kept.counted_ms
+    assert (
+        uncounted.machine.retention_clock.counted_ms == counted.machine.retention_clock.counted_ms
+    )
     shard.leader = uncounted
     advance(shard, STATUS_S + MAX_RETENTION_S)
     assert not any(each.machine.jobs for each in shard.replicas)
@@ -235,6 +241,6 @@
     """Advance the clock; all replicas check, and no job is forgotten before its time."""
     until_s = shard.now_s + seconds
     while shard.now_s < until_s:
-        shard.now_s += LOOK_PERIOD_S
-        shard.look()
+        shard.now_s += CHECK_INTERVAL_S
+        shard.check_retention()
         shard.check_kept()
--- a/features/steps/hosted_moves_steps.py
+++ b/features/steps/hosted_moves_steps.py
@@ -10,7 +10,7 @@
 from features.support.hosted_jobs import configuration, make_job
 from hypothesis import given, settings
 
-from bellweir.hosted.batches.attempts import ItemAttempts
+from bellweir.hosted.batches.attempts import ItemRunner
 from bellweir.hosted.batches.event_times import WorkerEventTimes
 from bellweir.hosted.batches.move_planning import (
     MIN_GAIN_S,
@@ -169,7 +169,7 @@
     results = context.leader.ledger.machine.jobs["later"].results
     for result in results:
         assert result.is_complete
-        assert result.whole_text == text_of(result.item_id, 60)
+        assert result.full_text == text_of(result.item_id, 60)
     ended = context.leader.models[0].record.ended
     assert not [name for name in ended if name.startswith("later-")], ended
 
@@ -184,10 +184,10 @@
 
     def __init__(self, count):
         self.now_s = 100.0
-        attempts = ItemAttempts(WorkerConnections(HEADERS), WorkerLoads("a"))
+        attempts = ItemRunner(WorkerConnections(HEADERS), WorkerLoads("a"))
         for _ in range(40):
-            attempts.paces.record_interval(Incarnation("fast"), FAST_EVENT_TIME_S)
-            attempts.paces.record_interval(Incarnation("slow"), SLOW_EVENT_TIME_S)
+            attempts.event_times.record_interval(Incarnation("fast"), FAST_EVENT_TIME_S)
+            attempts.event_times.record_interval(Incarnation("slow"), SLOW_EVENT_TIME_S)
         self.mover = RunMover(attempts, lambda: self.now_s)
         job = make_job("job", count, 1)
         fast, self.slow = (Worker(name, WorkerEntry("llm", "h:1")) for name in ("fast", "slow"))
@@ -205,7 +205,7 @@
         """Read one event of each run."""
         for run in self.runs:
             run.progress.events += 1
-            run.progress.heard_s = self.now_s
+            run.progress.last_event_s = self.now_s
 
     def check(self, after_s):
         """Advance the clock and check the runs."""
--- a/features/steps/hosted_steps_steps.py
+++ b/features/steps/hosted_steps_steps.py
@@ -11,7 +11,7 @@
 from features.support.hosted_jobs import HOST, configuration, make_job, make_leader
 from hypothesis import given, settings
 
-from bellweir.hosted.batches.attempts import ItemAttempts
+from bellweir.hosted.batches.attempts import ItemRunner
 from bellweir.hosted.batches.placement import (
     MAX_HOLD_S,
     EarliestEnd,
@@ -142,9 +142,9 @@
 
 @then("two trainers' steps of texts of unknown length are ordered by due time, none of them late")
 def then_unknown(context):
-    attempts = ItemAttempts(WorkerConnections(HEADERS), WorkerLoads("a"))
+    attempts = ItemRunner(WorkerConnections(HEADERS), WorkerLoads("a"))
     scheduler = StepScheduler(
-        attempts.known_events, lambda _service: [(TIME_PER_EVENT_S, 8)], lambda: 5.0
+        attempts.predicted_events_or_none, lambda _service: [(TIME_PER_EVENT_S, 8)], lambda: 5.0
     )
     table = RouteTable(msgspec.convert(configuration(), Configuration))
     steps, known = [], {}
@@ -310,7 +310,7 @@
 
     context.leader.ledger.submit = with_tokens
     context.counts = []
-    begin_round = coordinator._choice.begin_round
+    begin_round = coordinator._worker_selector.begin_round
 
     def counted(running, table):
         texts = [run for run in running if run.progress.item.tokens]
@@ -318,7 +318,7 @@
         context.counts += [at.count(worker) for worker in set(at)]
         begin_round(running, table)
 
-    coordinator._choice.begin_round = counted
+    coordinator._worker_selector.begin_round = counted
 
 
 @then("no engine ever ran more than {most:d} items")
--- a/src/bellweir/hosted/batches/engine_forecast.py
+++ b/src/bellweir/hosted/batches/engine_forecast.py
@@ -4,7 +4,7 @@
 from collections import defaultdict
 from collections.abc import Callable, Sequence
 
-from bellweir.hosted.batches.attempts import ItemAttempts
+from bellweir.hosted.batches.attempts import ItemRunner
 from bellweir.hosted.batches.placement import (
     BATCHING_SLOWDOWN,
     MAX_HELD_TEXTS,
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        attempts: ItemAttempts,
+        attempts: ItemRunner,
         policy: BatchSettings,
         now_s: Callable[[], float] = time.monotonic,
     ) -> None:
@@ -58,9 +58,9 @@
 
     def has_uneven_speeds(self, workers: Sequence[Worker]) -> bool:
         """Whether speeds differ so much that texts are placed by their predicted end."""
-        if not self._policy.place_by_end or not self._attempts.lengths.is_calibrated:
+        if not self._policy.place_by_end or not self._attempts.length_predictor.is_calibrated:
             return False
-        event_times_s = [self._attempts.paces.of(worker.incarnation) for worker in workers]
+        event_times_s = [self._attempts.event_times.of(worker.incarnation) for worker in workers]
         return max(event_times_s) >= MIN_SPEED_RATIO * min(event_times_s)
 
     def has_memory(self, worker: Worker, progress: ItemProgress) -> bool:
@@ -113,7 +113,7 @@
         )
 
     def _remaining_events(self, progress: ItemProgress) -> float:
-        expected = self._attempts.expected_events(progress)
+        expected = self._attempts.predicted_events(progress)
         return max(expected - progress.events, MIN_REMAINING_EVENTS)
 
     def _state(self, worker: Worker) -> EngineState[Incarnation]:
@@ -124,7 +124,7 @@
 
     def _new_state(self, worker: Worker) -> EngineState[Incarnation]:
         runs = self._texts_on(worker)
-        time_per_event_s = self._attempts.paces.of(worker.incarnation)
+        time_per_event_s = self._attempts.event_times.of(worker.incarnation)
         batched_time_per_event_s = time_per_event_s * (
             1 + BATCHING_SLOWDOWN * len(runs) / max(1, worker.entry.slots)
         )
@@ -144,7 +144,7 @@
         if self._runs_by_worker is None:
             self._runs_by_worker = defaultdict(list)
             for run in self._in_flight:
-                if run.progress.stage is Stage.TEXT:
+                if run.progress.stage is Stage.GENERATION:
                     self._runs_by_worker[run.worker.incarnation].append(run)
         return self._runs_by_worker.get(worker.incarnation, [])
 
--- a/src/bellweir/hosted/batches/run_mover.py
+++ b/src/bellweir/hosted/batches/run_mover.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable, Sequence
 
 from bellweir.events.log import emit
-from bellweir.hosted.batches.attempts import ItemAttempts
+from bellweir.hosted.batches.attempts import ItemRunner
 from bellweir.hosted.batches.move_planning import MoveTarget, PlannedMove, RunForecast, plan_moves
 from bellweir.hosted.batches.process_stalls import ProcessStalls
 from bellweir.hosted.batches.progress import ItemProgress, Stage
@@ -38,7 +38,7 @@
     @property
     def last_event_s(self) -> float:
         """Time of its last event, or of its submission before the first event."""
-        return max(self.started_s, self.progress.heard_s)
+        return max(self.started_s, self.progress.last_event_s)
 
 
 TargetsOf = Callable[[ItemProgress, str], Sequence[tuple[Worker, int]]]
@@ -48,7 +48,7 @@
 class RunMover:
     """Checks runs periodically. Not thread-safe: called by the coordinator's task only."""
 
-    def __init__(self, attempts: ItemAttempts, now_s: Callable[[], float] = time.monotonic) -> None:
+    def __init__(self, attempts: ItemRunner, now_s: Callable[[], float] = time.monotonic) -> None:
         self._attempts = attempts
         self._now_s = now_s
         self._next_check_s = 0.0
@@ -64,7 +64,7 @@
         generating = [
             run
             for run in runs
-            if run.progress.stage is Stage.TEXT and not run.cancellation.cancelled.is_set()
+            if run.progress.stage is Stage.GENERATION and not run.cancellation.cancelled.is_set()
         ]
         silent = self._silent_workers(generating, now_s)
         # A run stays within its service, so that split routes keep their weights.
@@ -89,7 +89,7 @@
         targets = [
             MoveTarget(
                 worker.incarnation,
-                self._attempts.paces.of(worker.incarnation),
+                self._attempts.event_times.of(worker.incarnation),
                 free_slots - claimed.get(worker.incarnation, 0),
             )
             for worker, free_slots in candidates
@@ -119,9 +119,9 @@
     def _forecast(self, run: Run, now_s: float) -> RunForecast[Run]:
         progress = run.progress
         generated = progress.events
-        expected = self._attempts.expected_events(progress)
+        expected = self._attempts.predicted_events(progress)
         remaining = max(expected - generated, OVERRUN_SHARE * generated, MIN_REMAINING_EVENTS)
-        time_per_event_s = self._attempts.paces.of(run.worker.incarnation)
+        time_per_event_s = self._attempts.event_times.of(run.worker.incarnation)
         # Events that arrived while this process was stalled are not read yet.
         silent_s = now_s - run.last_event_s - self._stalls.total_since(run.last_event_s)
         return RunForecast(run, run.worker.incarnation, time_per_event_s, silent_s, remaining)
@@ -140,7 +140,7 @@
             left_events=round(forecast.remaining_events),
             silent_ms=round(1000 * forecast.silent_s),
             pace_ms=round(1000 * forecast.time_per_event_s),
-            target_pace_ms=round(1000 * self._attempts.paces.of(move.target)),
+            target_pace_ms=round(1000 * self._attempts.event_times.of(move.target)),
         )
         progress.moved_to = move.target
         progress.moved_s = now_s
--- a/src/bellweir/hosted/batches/step_scheduler.py
+++ b/src/bellweir/hosted/batches/step_scheduler.py
@@ -76,17 +76,17 @@
 
     def __init__(
         self,
-        expected_events: Callable[[ItemProgress], float | None],
+        predicted_events: Callable[[ItemProgress], float | None],
         event_times_of: Callable[[str], Sequence[tuple[float, int]]],
         now_s: Callable[[], float] = time.monotonic,
         wall_s: Callable[[], float] = time.time,
     ) -> None:
         """`event_times_of` returns the time per event and the slots of each engine of a service.
 
-        While `expected_events` returns None, a text counts as one remaining event, so that no
+        While `predicted_events` returns None, a text counts as one remaining event, so that no
         group is late because of unknown lengths.
         """
-        self._expected_events = expected_events
+        self._expected_events = predicted_events
         self._event_times_of = event_times_of
         self._now_s = now_s
         self._wall_s = wall_s
@@ -171,8 +171,8 @@
             names.add(name)
             key = (job.id, item.id)
             progress = progress_of.get(key)
-            is_generated = progress is not None and progress.stage is not Stage.TEXT
-            if item.id in step.state.listed or is_generated:
+            is_generated = progress is not None and progress.stage is not Stage.GENERATION
+            if item.id in step.state.recorded_ids or is_generated:
                 continue
             expected = self._expected_events(progress) if progress is not None else None
             remaining = 1.0
--- a/src/bellweir/hosted/batches/worker_selection.py
+++ b/src/bellweir/hosted/batches/worker_selection.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Collection, Sequence
 
-from bellweir.hosted.batches.attempts import ItemAttempts
+from bellweir.hosted.batches.attempts import ItemRunner
 from bellweir.hosted.batches.engine_forecast import EngineForecast
 from bellweir.hosted.batches.progress import ItemProgress, Stage
 from bellweir.hosted.batches.run_mover import Run
@@ -21,7 +21,7 @@
         self,
         workers: WorkersView,
         loads: WorkerLoads,
-        attempts: ItemAttempts,
+        attempts: ItemRunner,
         policy: BatchSettings,
     ) -> None:
         self._workers = workers
@@ -31,7 +31,7 @@
         self._parts = WeightedRoundRobin()
         self._forecast = EngineForecast(attempts, policy)
         if policy.set_failing_aside:
-            attempts.fellows_of = lambda worker: self._service_workers(worker.entry.service)
+            attempts.service_workers_of = lambda worker: self._service_workers(worker.entry.service)
 
     def begin_round(self, in_flight: Sequence[Run], table: RouteTable) -> None:
         """Begin a scheduling round; `in_flight` are the runs at its start."""
@@ -40,7 +40,7 @@
     def event_times_of(self, service: str) -> list[tuple[float, int]]:
         """Time per event and slots of each engine of a service."""
         return [
-            (self._attempts.paces.of(worker.incarnation), worker.entry.slots)
+            (self._attempts.event_times.of(worker.incarnation), worker.entry.slots)
             for worker in self._workers.ready(service)
         ]
 
@@ -52,14 +52,14 @@
     def acquire_worker(self, progress: ItemProgress, table: RouteTable) -> Worker | None:
         """Take a slot of a worker; None if no slot is free or the item is held for a better one."""
         self._forecast.is_held = False
-        if progress.stage is Stage.SCORE:
+        if progress.stage is Stage.SCORING:
             route = score_route(progress, table)
             return self._choose(route, progress, table) if route is not None else None
         return self._choose(progress.route, progress, table)
 
     def move_targets(self, progress: ItemProgress, service: str) -> list[tuple[Worker, int]]:
         """Workers of a service that an item's run could be moved to, with their free slots."""
-        failing = self._attempts.failing.failing_workers(self._service_workers(service))
+        failing = self._attempts.quarantine.failing_workers(self._service_workers(service))
         return [
             (worker, worker.entry.slots - self._loads.in_flight(worker.incarnation))
             for worker in self._eligible(service, progress)
@@ -69,12 +69,16 @@
     def has_own_constraints(self, progress: ItemProgress) -> bool:
         """Whether other items of the job may get a worker although this one gets none."""
         is_version_pinned = progress.route.single_version and bool(progress.versions)
-        return bool(progress.failed_at_now) or is_version_pinned or self._policy.count_memory
+        return bool(progress.stage_failures) or is_version_pinned or self._policy.count_memory
 
     def restart_if_version_gone(self, progress: ItemProgress) -> None:
         """Restart a text that must be of a single version if no worker has it any more."""
         route, model = progress.route, progress.job.model
-        if progress.stage is not Stage.TEXT or not route.single_version or not progress.versions:
+        if (
+            progress.stage is not Stage.GENERATION
+            or not route.single_version
+            or not progress.versions
+        ):
             return
         versions = [
             version
@@ -97,8 +101,8 @@
             return moved
         parts = tuple((part.service, part.weight) for part in route.parts)
         key = (table.version, route.host, route.path_prefix)
-        by_event_time = progress.stage is Stage.TEXT and self._policy.choose_by_pace
-        time_per_event_of = self._attempts.paces.of if by_event_time else None
+        by_event_time = progress.stage is Stage.GENERATION and self._policy.choose_by_pace
+        time_per_event_of = self._attempts.event_times.of if by_event_time else None
         for service in self._parts.peek(parts, key):
             eligible = self._eligible(service, progress)
             available = [worker for worker in eligible if self._can_accept(worker, progress)]
@@ -121,7 +125,7 @@
         """Take a slot of the best worker; None also if the item is held for a busy one."""
         forecast = self._forecast
         if (
-            progress.stage is Stage.SCORE
+            progress.stage is Stage.SCORING
             or not available
             or not forecast.has_uneven_speeds(eligible)
         ):
@@ -136,7 +140,7 @@
 
     def _acquire_move_target(self, route: Route, progress: ItemProgress) -> Worker | None:
         """Take a slot of the worker that a run was moved to; its service is charged already."""
-        if progress.stage is not Stage.TEXT or not progress.moved_to:
+        if progress.stage is not Stage.GENERATION or not progress.moved_to:
             return None
         for part in route.parts:
             for worker in self._eligible(part.service, progress):
@@ -148,10 +152,10 @@
         return None
 
     def _record_start(self, worker: Worker, progress: ItemProgress) -> None:
-        if progress.stage is Stage.TEXT:
-            self._attempts.refusals.record_start(worker.incarnation, progress.job.model)
+        if progress.stage is Stage.GENERATION:
+            self._attempts.refusal_backoff.record_start(worker.incarnation, progress.job.model)
             self._forecast.record_start(worker, progress)
-        self._attempts.failing.record_start(worker.incarnation, progress.item.id)
+        self._attempts.quarantine.record_start(worker.incarnation, progress.item.id)
 
     def _eligible(self, service: str, progress: ItemProgress) -> list[Worker]:
         """Workers of a service that may run an item now, with or without a free slot.
@@ -170,11 +174,11 @@
     def _without_failing(
         self, workers: list[Worker], service: str, progress: ItemProgress
     ) -> list[Worker]:
-        failed_at = progress.failed_at_now
+        failed_at = progress.stage_failures
         service_workers = self._service_workers(service)
         # An item that failed often is no evidence about a worker, so it probes none.
         allows_probe = len(failed_at) < progress.route.max_attempts
-        failing = self._attempts.failing
+        failing = self._attempts.quarantine
         quarantined = failing.quarantined(service_workers)
         kept = [
             worker
@@ -193,9 +197,9 @@
         return self._policy.pass_over_failed and self._loads.is_penalized(worker.incarnation)
 
     def _can_accept(self, worker: Worker, progress: ItemProgress) -> bool:
-        if progress.stage is Stage.TEXT:
+        if progress.stage is Stage.GENERATION:
             model = progress.job.model
-            refusals = self._attempts.refusals
+            refusals = self._attempts.refusal_backoff
             is_guarded = self._policy.guard_refusals
             if is_guarded and not refusals.may_start(worker.incarnation, model):
                 return False
@@ -211,7 +215,7 @@
 
 
 def _is_compatible(worker: Worker, progress: ItemProgress) -> bool:
-    if progress.stage is not Stage.TEXT or not progress.job.model:
+    if progress.stage is not Stage.GENERATION or not progress.job.model:
         return True
     version = worker.version_of(progress.job.model)
     if version is None:
