--- a/features/hosted_choice.feature
+++ b/features/hosted_choice.feature
@@ -1,72 +1,72 @@
-Feature: A gateway's choice of workers uses the sight that gateways share
+Feature: A gateway selects workers by statistics shared between gateways
 
   Background:
-    Given workers "a" and "b" behind a gateway that shares its sight
+    Given workers "a" and "b" behind a gateway with shared worker statistics
 
   Scenario: A worker that is set aside
-    Given worker "a" is set aside
+    Given worker "a" is ejected
     When 10 requests are sent one after the other
     Then all were answered, and worker "a" ran 0 of them
-    Given worker "a" may get a trial
+    Given worker "a" may be probed
     When 10 requests are sent one after the other
     Then all were answered, and worker "a" ran 1 of them
 
   Scenario: All workers are set aside
-    Given worker "a" is set aside
-    And worker "b" is set aside
+    Given worker "a" is ejected
+    And worker "b" is ejected
     When 10 requests are sent one after the other
     Then all were answered, and worker "a" ran some of them
 
   Scenario: A further try does not go to a worker that is set aside
-    Given worker "a" is set aside
+    Given worker "a" is ejected
     And the next request at worker "b" fails
     When 1 requests are sent one after the other
-    Then the last answer is 500, and worker "a" ran 0 of them
+    Then the last response is 500, and worker "a" ran 0 of them
 
   Scenario: Other gateways have requests at a worker
-    Given other gateways have 4 requests at worker "a"
+    Given other gateways have 4 requests in flight at worker "a"
     When 10 requests are sent one after the other
     Then all were answered, and worker "a" ran 0 of them
 
   Scenario: A slow worker with free slots, and a sound one that has more in hand
-    Given a worker that takes 4 times as long and has nothing, and a sound one with 5 of 6 slots in use
-    Then 31 of 32 choices take the sound one, and the other one is looked at now and then
-    And a sound one that has a queue of 4 times its slots is passed over
+    Given an idle worker that takes 4 times as long, and a healthy one with 5 of 6 slots in use
+    Then 31 of 32 choices take the healthy worker, and the others take the slow one
+    And a healthy worker with 4 times its slots in flight is not chosen
 
   Scenario: A worker tells its load
-    Given worker "a" tells the load "5,2,6,300"
-    And worker "b" tells the load "nonsense"
+    Given worker "a" reports the load "5,2,6,300"
+    And worker "b" reports the load "nonsense"
     When 10 requests are sent one after the other
-    Then the sight was told 7 requests, 6 slots and a pace of 300 of worker "a", and nothing of "b"
+    Then the monitor got 7 requests, 6 slots and a pace of 300 for worker "a", and nothing for "b"
 
   Scenario: What a worker told counts by its age
-    Then of two workers alike the one that just told a load is chosen last, and word of a minute ago changes nothing
+    Then of two equal workers the one that just reported a load is ranked last, and a report a minute old has no effect
 
   Scenario: Nothing was told of any worker
-    Then at any loads of its own a gateway to which nothing was told chooses as one without sight
+    Then a gateway without shared statistics of any worker ranks workers as one without a monitor, at any local load
 
   Scenario: Each end of a try is told as what it shows of the worker
-    Then each outcome of a try is told: served, failed, refused and late ones, and none of a client that left
+    Then each outcome of an attempt is reported: success, failure, refusal and timeout, and unknown if the client left
 
   Scenario: A try that takes longer than fellows do
-    Given worker "a" takes its requests and never answers, and is tried first
-    And fellows answer within 50 ms
+    Given worker "a" accepts requests without responding, and is tried first
+    And the service's 95th percentile latency is 50 ms
     When 1 requests are sent one after the other
-    Then all were answered, and the try at worker "a" was given up after twice their time and its connection closed
+    Then all were answered, and the attempt at worker "a" timed out after twice that latency and its connection was closed
 
   Scenario: A budget that is spent
-    Given the budget of further tries is spent
+    Given the retry budget is spent
     And the next request at worker "a" fails
     And the next request at worker "b" fails
     When 1 requests are sent one after the other
-    Then the last answer is 500, and 1 further try was refused
+    Then the last response is 500, and 1 retry was refused
 
   Scenario: Tries at a service in trouble stay within their share
-    Given 24 gateways in 3 zones that share their sight
-    When each request of theirs fails at every worker for 20 s
-    Then all tries stay within the budget, but for the reserve and the seconds that word takes
+    Given 24 gateways in 3 zones that share worker statistics
+    When all requests of these gateways fail at every worker for 20 s
+    Then all retries stay within the budget, except for the reserve and the propagation time
 
   Scenario: A slow worker is known to all gateways
-    Given 24 gateways in 3 zones that share their sight
+    Given 24 gateways in 3 zones that share worker statistics
     When one worker of 4 takes ten times as long for 10 s
-    Then all gateways have set just that worker aside
+    Then all gateways have ejected exactly that worker
--- a/features/hosted_forwarding.feature
+++ b/features/hosted_forwarding.feature
@@ -1,6 +1,6 @@
-Feature: A hosted gateway forwards requests and tells the truth
-  Workers fail in every way; what a client gets is the whole answer to its own request, or a
-  status that is true: 503 only for a request that has not run and will not.
+Feature: A hosted gateway forwards requests and reports their outcome truthfully
+  Workers fail in every way. A client gets the complete response to its own request or a truthful
+  status: 503 only if the request has not run and will not.
 
   Background:
     Given workers "a" and "b" behind a gateway
@@ -28,7 +28,7 @@
       | fail once                  | a single-run      | 500    | 1 times  |
 
   Scenario Outline: A fault at one worker only is hidden where that is allowed
-    Given only worker "a" is tried first and it will <fault>
+    Given worker "a" is tried first and will <fault>
     When a client sends <kind> request
     Then it gets <status>, and the request ran <runs>
 
@@ -49,52 +49,52 @@
     Given worker "a" will refuse once
     And worker "b" will refuse once
     When a client sends an idempotent request
-    Then its answer names a time to come back
+    Then its response has a Retry-After header
 
   Scenario: No answer within the time-out
     Given both workers take 3 s
     When a client sends an idempotent request whose route allows 300 ms
-    Then it gets 504 within the time-out and a half second
+    Then it gets 504 within half a second of the timeout
 
   Scenario: No route, and no configuration
-    When a client sends a request that no route has
+    When a client sends a request that matches no route
     Then it gets 404
-    When the gateway knows no configuration
+    When the gateway has no configuration
     And a client sends an idempotent request
     Then it gets 503, and the request ran 0 times
 
   Scenario: A long body in pieces
-    When a client sends a body of 3000000 bytes in pieces
+    When a client sends a body of 3000000 bytes in chunks
     Then the worker got all of it
 
   Scenario: A stream that breaks is resumed behind its last whole event
     Given model workers behind the gateway
     And the next stream breaks in the middle of event 4
-    When a client asks for a stream that may be resumed
+    When a client requests a resumable stream
     Then it gets every event once and in order
 
   Scenario: A stream that may not be resumed ends short
     Given model workers behind the gateway
     And the next stream breaks in the middle of event 4
-    When a client asks for a stream that may not be resumed
-    Then its answer is cut behind event 3
+    When a client requests a stream that is not resumable
+    Then its response is cut off after event 3
 
   Scenario: Attempts of every outcome in every order
-    Then whatever becomes of its attempts, a request runs no more often than its kind allows, and its status is true
+    Then whatever the outcomes of its attempts, a request runs no more often than its route allows, and its status is true
 
   Scenario: Shares of a split route
-    Then a route's requests are shared by weight within one request, at any weights
+    Then a route's requests are distributed by weight to within one request, for any weights
 
   Scenario: Attempts that are cancelled at any moment give their places back
     Given model workers behind the gateway
-    Then streams cancelled at any moment leave no place taken and no error behind
+    Then streams cancelled at any moment leave no request in flight and no error behind
 
   Scenario: A client that leaves
     Given both workers take 3 s
-    When a client sends an idempotent request and leaves
-    Then the gateway ends its attempt within half a second
+    When a client sends an idempotent request and disconnects
+    Then the gateway aborts its attempt within half a second
 
   Scenario: A client that a stopping gateway accepts last
     Given both workers take 1 s
-    When the gateway stops as planned, and a client's request is there as it closes its listener
-    Then that client gets its whole answer
+    When the gateway shuts down gracefully, and a client's request arrives as it closes its listener
+    Then that client gets its complete response
--- a/features/steps/hosted_choice_steps.py
+++ b/features/steps/hosted_choice_steps.py
@@ -1,4 +1,4 @@
-"""The choice of workers under shared sight: one real gateway, and many over a network in memory."""
+"""Worker selection with shared statistics: one real gateway, and many on an in-memory network."""
 
 import socket
 import threading
@@ -25,16 +25,16 @@
 from bellweir.kernel.listeners import address_of
 from bellweir_rehearsal.hosted.worker import WorkerStandIn
 
-TRY_SHARE = 0.5
-WORD_S = 7.0
-"""Time in which word of a further try reaches all 24 gateways: 14 rounds."""
+RETRY_SHARE = 0.5
+PROPAGATION_S = 7.0
+"""Time in which a retry becomes known to all 24 gateways: 14 gossip rounds."""
 
 
-@given_step('workers "a" and "b" behind a gateway that shares its sight')
+@given_step('workers "a" and "b" behind a gateway with shared worker statistics')
 def given_workers(context):
     context.workers = {name: WorkerStandIn(f"i-{name}") for name in "ab"}
-    context.sight = FakeWorkerMonitor()
-    context.gateway = GatewayUnderTest(list(context.workers.values()), context.sight)
+    context.monitor = FakeWorkerMonitor()
+    context.gateway = GatewayUnderTest(list(context.workers.values()), context.monitor)
     context.cleanup.callback(context.gateway.close)
     for worker in context.workers.values():
         context.cleanup.callback(worker.close)
@@ -44,15 +44,15 @@
     return context.gateway.workers.worker(f"i-{name}").incarnation
 
 
-@given_step('worker "{name}" is set aside')
-def given_aside(context, name):
+@given_step('worker "{name}" is ejected')
+def given_ejected(context, name):
     one = incarnation_of(context, name)
-    context.sight.stats_by_worker[one] = WorkerStats(one, is_ejected=True)
+    context.monitor.stats_by_worker[one] = WorkerStats(one, is_ejected=True)
 
 
-@given_step('worker "{name}" may get a trial')
-def given_trial(context, name):
-    context.sight.probes.add(incarnation_of(context, name))
+@given_step('worker "{name}" may be probed')
+def given_probe(context, name):
+    context.monitor.probes.add(incarnation_of(context, name))
 
 
 @given_step('the next request at worker "{name}" fails')
@@ -60,113 +60,115 @@
     context.workers[name].faults.fail = 1
 
 
-@given_step('other gateways have {count:d} requests at worker "{name}"')
+@given_step('other gateways have {count:d} requests in flight at worker "{name}"')
 def given_others(context, count, name):
     for each in "ab":
         one = incarnation_of(context, each)
-        in_hand = count if each == name else 0
-        context.sight.stats_by_worker[one] = WorkerStats(
-            one, in_hand, median_s=0.5, p95_s=0.6, age_s=0.1
+        in_flight = count if each == name else 0
+        context.monitor.stats_by_worker[one] = WorkerStats(
+            one, in_flight, median_s=0.5, p95_s=0.6, age_s=0.1
         )
 
 
 @given_step(
-    "a worker that takes {factor:d} times as long and has nothing, and a sound one with "
+    "an idle worker that takes {factor:d} times as long, and a healthy one with "
     "{count:d} of {slots:d} slots in use"
 )
-def given_slow_and_sound(context, factor, count, slots):
-    context.slow, context.sound = (
-        Worker(name, WorkerEntry("app", f"{name}:1", slots=slots)) for name in ("slow", "sound")
+def given_slow_and_healthy(context, factor, count, slots):
+    context.slow, context.healthy = (
+        Worker(name, WorkerEntry("app", f"{name}:1", slots=slots)) for name in ("slow", "healthy")
     )
-    context.known = FakeWorkerMonitor()
-    context.loads = WorkerLoads("a", monitor=context.known)
-    note_seen(context, context.slow, 0, 0.04 * factor)
-    note_seen(context, context.sound, count, 0.04)
+    context.monitor = FakeWorkerMonitor()
+    context.loads = WorkerLoads("a", monitor=context.monitor)
+    set_stats(context, context.slow, 0, 0.04 * factor)
+    set_stats(context, context.healthy, count, 0.04)
 
 
-def note_seen(context, worker, in_hand, usual_s):
+def set_stats(context, worker, in_flight, usual_s):
     one = worker.incarnation
-    context.known.stats_by_worker[one] = WorkerStats(one, in_hand, usual_s, 2 * usual_s, age_s=0.1)
+    context.monitor.stats_by_worker[one] = WorkerStats(
+        one, in_flight, usual_s, 2 * usual_s, age_s=0.1
+    )
 
 
-def chosen_of(context, count):
-    """Workers of so many choices, each of which is over at once."""
+def choose_repeatedly(context, count):
+    """Return the workers of `count` choices, each released at once."""
     found = []
     for _ in range(count):
-        found.append(context.loads.choose([context.slow, context.sound], ()))
+        found.append(context.loads.choose([context.slow, context.healthy], ()))
         context.loads.release(found[-1].incarnation)
     return found
 
 
-@then("31 of 32 choices take the sound one, and the other one is looked at now and then")
-def then_sound(context):
-    found = chosen_of(context, 320)
-    assert found.count(context.sound) == 310, found.count(context.sound)
+@then("31 of 32 choices take the healthy worker, and the others take the slow one")
+def then_healthy(context):
+    found = choose_repeatedly(context, 320)
+    assert found.count(context.healthy) == 310, found.count(context.healthy)
 
 
-@then("a sound one that has a queue of 4 times its slots is passed over")
+@then("a healthy worker with 4 times its slots in flight is not chosen")
 def then_full(context):
-    note_seen(context, context.sound, 4 * context.sound.entry.slots, 0.04)
-    assert set(chosen_of(context, 31)) == {context.slow}
+    set_stats(context, context.healthy, 4 * context.healthy.entry.slots, 0.04)
+    assert set(choose_repeatedly(context, 31)) == {context.slow}
 
 
-@given_step('worker "{name}" tells the load "{text}"')
+@given_step('worker "{name}" reports the load "{text}"')
 def given_load(context, name, text):
     context.workers[name].told_load = text
 
 
 @then(
-    "the sight was told {requests:d} requests, {slots:d} slots and a pace of {pace:d} of worker "
-    '"{name}", and nothing of "{other}"'
+    "the monitor got {requests:d} requests, {slots:d} slots and a pace of {pace:d} "
+    'for worker "{name}", and nothing for "{other}"'
 )
 def then_load(context, requests, slots, pace, name, other):
-    told = context.sight.loads[f"i-{name}"]
-    assert (told.requests, told.slots, told.pace) == (requests, slots, pace)
-    assert f"i-{other}" not in context.sight.loads
+    reported = context.monitor.loads[f"i-{name}"]
+    assert (reported.requests, reported.slots, reported.pace) == (requests, slots, pace)
+    assert f"i-{other}" not in context.monitor.loads
 
 
 @then(
-    "of two workers alike the one that just told a load is chosen last, and word of a minute ago "
-    "changes nothing"
+    "of two equal workers the one that just reported a load is ranked last, and a "
+    "report a minute old has no effect"
 )
 def then_by_age(context):
     def ranks(load, age_s):
-        sight = FakeWorkerMonitor()
-        loads = WorkerLoads("a", monitor=sight)
+        monitor = FakeWorkerMonitor()
+        loads = WorkerLoads("a", monitor=monitor)
         workers = [worker_of(number) for number in range(2)]
         for worker in workers:
             loads.acquire(worker)
             loads.record_success(worker.incarnation, 0.1)
         first = workers[0].incarnation
-        sight.stats_by_worker[first] = WorkerStats(first, load=load, load_age_s=age_s)
+        monitor.stats_by_worker[first] = WorkerStats(first, load=load, load_age_s=age_s)
         return [loads._rank(worker, time.monotonic(), None)[:-1] for worker in workers]
 
     for load in (WorkerLoad(3, 1, 4), WorkerLoad(0, 0, 4, 300)):
-        told, other = ranks(load, 0.0)
-        assert told > other, (told, other)
+        reported, other = ranks(load, 0.0)
+        assert reported > other, (reported, other)
         assert len(set(ranks(load, 60.0))) == 1, ranks(load, 60.0)
 
 
-@given_step("the budget of further tries is spent")
-def given_spent(context):
-    context.sight.allows_retries = False
+@given_step("the retry budget is spent")
+def given_budget_spent(context):
+    context.monitor.allows_retries = False
 
 
-@given_step("fellows answer within {milliseconds:d} ms")
-def given_fellows(context, milliseconds):
-    context.sight.p95_s = milliseconds / 1000
+@given_step("the service's 95th percentile latency is {milliseconds:d} ms")
+def given_service_latency(context, milliseconds):
+    context.monitor.p95_s = milliseconds / 1000
 
 
-@given_step('worker "{name}" takes its requests and never answers, and is tried first')
-def given_silent(context, name):
+@given_step('worker "{name}" accepts requests without responding, and is tried first')
+def given_unresponsive(context, name):
     call = context.gateway._connections.call
     context.timeouts_s = []
 
-    def noted_call(worker, sent, timeout_s, deadline_ms, cancellation):
+    def recording_call(worker, sent, timeout_s, deadline_ms, cancellation):
         context.timeouts_s.append(timeout_s)
         return call(worker, sent, timeout_s, deadline_ms, cancellation)
 
-    context.gateway._connections.call = noted_call
+    context.gateway._connections.call = recording_call
     listener = socket.create_server(("127.0.0.1", 0))
     context.cleanup.callback(listener.close)
     context.closed = threading.Event()
@@ -176,7 +178,7 @@
     for each in "ab":
         one = incarnation_of(context, each)
         usual_s = 0.01 if each == name else 0.5
-        context.sight.stats_by_worker[one] = WorkerStats(
+        context.monitor.stats_by_worker[one] = WorkerStats(
             one, median_s=usual_s, p95_s=0.6, age_s=0.1
         )
 
@@ -193,10 +195,10 @@
 @when("{count:d} requests are sent one after the other")
 def when_sent(context, count):
     before = dict.fromkeys(context.workers, 0)
-    del context.sight.ends[:]
+    del context.monitor.ends[:]
     context.answers = [context.gateway.send("/idempotent/x") for _ in range(count)]
     context.ran = before
-    for instance, outcome in context.sight.ends:
+    for instance, outcome in context.monitor.ends:
         context.ran[instance.removeprefix("i-")] += outcome is ObservedOutcome.SERVED
 
 
@@ -216,61 +218,64 @@
     assert context.ran[name] > 0, context.ran
 
 
-@then('the last answer is {status:d}, and worker "{name}" ran {count:d} of them')
+@then('the last response is {status:d}, and worker "{name}" ran {count:d} of them')
 def then_status(context, status, name, count):
     assert context.answers[-1].status == status
     assert context.ran[name] == count, context.ran
 
 
-@then("the last answer is {status:d}, and 1 further try was refused")
+@then("the last response is {status:d}, and 1 retry was refused")
 def then_refused(context, status):
     assert context.answers[-1].status == status
-    assert context.sight.retries == {"refused": 1}, context.sight.retries
+    assert context.monitor.retries == {"refused": 1}, context.monitor.retries
 
 
 @then(
-    'all were answered, and the try at worker "{name}" was given up after twice their time and its '
-    "connection closed"
+    'all were answered, and the attempt at worker "{name}" timed out after twice '
+    "that latency and its connection was closed"
 )
-def then_given_up(context, name):
+def then_timed_out(context, name):
     then_all_answered(context)
-    assert (f"i-{name}", ObservedOutcome.LATE) in context.sight.ends, context.sight.ends
-    assert context.timeouts_s[0] == 2 * context.sight.p95_s, context.timeouts_s
+    assert (f"i-{name}", ObservedOutcome.LATE) in context.monitor.ends, context.monitor.ends
+    assert context.timeouts_s[0] == 2 * context.monitor.p95_s, context.timeouts_s
     assert context.closed.wait(5.0)
-    assert context.sight.retries == {"made": 1}
+    assert context.monitor.retries == {"made": 1}
 
 
 def worker_of(number):
     return Worker(f"i-{number}", WorkerEntry(SERVICE, f"h:{number}", zone="a", slots=4))
 
 
-@then("at any loads of its own a gateway to which nothing was told chooses as one without sight")
-def then_as_before(context):
+@then(
+    "a gateway without shared statistics of any worker ranks workers as one without "
+    "a monitor, at any local load"
+)
+def then_ranks_equally(context):
     @settings(max_examples=100, deadline=None)
     @given(loads=st.lists(st.tuples(st.integers(0, 6), st.floats(0.02, 2.0)), min_size=2))
-    def as_before(loads):
-        plain, sighted = WorkerLoads("a"), WorkerLoads("a", monitor=FakeWorkerMonitor())
+    def ranks_equally(loads):
+        plain, monitored = WorkerLoads("a"), WorkerLoads("a", monitor=FakeWorkerMonitor())
         workers = [worker_of(number) for number in range(len(loads))]
         ranks = []
-        for each in (plain, sighted):
-            for worker, (in_hand, seconds) in zip(workers, loads, strict=True):
+        for each in (plain, monitored):
+            for worker, (in_flight, seconds) in zip(workers, loads, strict=True):
                 each.acquire(worker)
                 each.record_success(worker.incarnation, seconds)
-                for _ in range(in_hand):
+                for _ in range(in_flight):
                     each.acquire(worker)
             ranks.append([each._rank(worker, 0.0, None)[:-1] for worker in workers])
         assert ranks[0] == ranks[1]
 
-    as_before()
+    ranks_equally()
 
 
 @then(
-    "each outcome of a try is told: served, failed, refused and late ones, and none of a client "
-    "that left"
+    "each outcome of an attempt is reported: success, failure, refusal and timeout, "
+    "and unknown if the client left"
 )
-def then_told(context):
-    sight = FakeWorkerMonitor()
-    loads = WorkerLoads("a", monitor=sight)
+def then_reported(context):
+    monitor = FakeWorkerMonitor()
+    loads = WorkerLoads("a", monitor=monitor)
     worker = worker_of(1)
 
     def end(state, **more):
@@ -284,23 +289,23 @@
     end(AttemptState.NOT_SENT)
     end(AttemptState.UNKNOWN, is_timed_out=True)
     end(AttemptState.UNKNOWN, is_timed_out=True, is_cancelled=True)
-    told = [outcome for _, outcome in sight.ends]
+    reported = [outcome for _, outcome in monitor.ends]
     failed = ObservedOutcome.FAILED
     expected = [ObservedOutcome.SERVED, failed, ObservedOutcome.REFUSED, failed]
-    assert told == [*expected, ObservedOutcome.LATE, ObservedOutcome.UNKNOWN], told
+    assert reported == [*expected, ObservedOutcome.LATE, ObservedOutcome.UNKNOWN], reported
     assert loads.in_flight(worker.incarnation) == 0
 
 
-@given_step("{gateways:d} gateways in {zones:d} zones that share their sight")
+@given_step("{gateways:d} gateways in {zones:d} zones that share worker statistics")
 def given_network(context, gateways, zones):
-    context.network = network = SightNetwork(gateways, zones, retry_share=TRY_SHARE)
+    context.network = network = SightNetwork(gateways, zones, retry_share=RETRY_SHARE)
     context.loads = [WorkerLoads("a", monitor=one.monitor) for one in network.all()]
     context.entries = [worker_of(number) for number in range(len(network.workers))]
 
 
-@when("each request of theirs fails at every worker for {seconds:d} s")
+@when("all requests of these gateways fail at every worker for {seconds:d} s")
 def when_all_fail(context, seconds):
-    context.first = context.further = 0
+    context.first_attempts = context.retries = 0
     context.seconds = seconds
     for _ in range(round(seconds / GOSSIP_INTERVAL_S)):
         for loads in context.loads:
@@ -308,18 +313,20 @@
             while (worker := loads.choose(context.entries, tried)) is not None:
                 tried.append(worker.incarnation)
                 loads.record_failure(worker.incarnation)
-            context.first += 1
-            context.further += len(tried) - 1
+            context.first_attempts += 1
+            context.retries += len(tried) - 1
         context.network.run(1)
 
 
-@then("all tries stay within the budget, but for the reserve and the seconds that word takes")
-def then_within(context):
-    most_a_request = len(context.entries) - 1
-    before_word = WORD_S * context.first / context.seconds * most_a_request
-    most = TRY_SHARE * context.first + RESERVE_RETRIES + before_word
-    assert context.further <= most, (context.further, context.first)
-    assert context.further < 0.4 * most_a_request * context.first, context.further
+@then("all retries stay within the budget, except for the reserve and the propagation time")
+def then_within_budget(context):
+    max_retries_per_request = len(context.entries) - 1
+    before_propagation = (
+        PROPAGATION_S * context.first_attempts / context.seconds * max_retries_per_request
+    )
+    limit = RETRY_SHARE * context.first_attempts + RESERVE_RETRIES + before_propagation
+    assert context.retries <= limit, (context.retries, context.first_attempts)
+    assert context.retries < 0.4 * max_retries_per_request * context.first_attempts, context.retries
 
 
 @when("one worker of 4 takes ten times as long for {seconds:d} s")
@@ -334,8 +341,8 @@
         network.run(1)
 
 
-@then("all gateways have set just that worker aside")
-def then_just_that(context):
+@then("all gateways have ejected exactly that worker")
+def then_only_that(context):
     for one in context.network.all():
-        aside = {each for each in context.network.workers if one.monitor.stats(each).is_ejected}
-        assert aside == {Incarnation("i-0")}, (one.transport.node, aside)
+        ejected = {each for each in context.network.workers if one.monitor.stats(each).is_ejected}
+        assert ejected == {Incarnation("i-0")}, (one.transport.node, ejected)
--- a/features/steps/hosted_forwarding_steps.py
+++ b/features/steps/hosted_forwarding_steps.py
@@ -1,4 +1,4 @@
-"""A hosted gateway in this process before stand-ins of workers."""
+"""A hosted gateway in this process with stand-in workers."""
 
 import io
 import threading
@@ -71,14 +71,14 @@
     setattr(context.workers[name].faults, FAULTS[fault], 1)
 
 
-@given_step('only worker "a" is tried first and it will {fault} once')
+@given_step('worker "a" is tried first and will {fault} once')
 def given_first(context, fault):
     given_fault(context, "a", fault)
     prefer_first(context)
 
 
 def prefer_first(context):
-    """Have worker "b" passed over for a moment, as one that has just said it is full."""
+    """Penalize worker "b" for a moment by recording a refusal."""
     second = context.gateway.workers.worker("i-b")
     context.gateway.loads.choose([second], ())
     context.gateway.loads.record_refusal(second.incarnation)
@@ -115,34 +115,34 @@
     context.took_s = time.monotonic() - began_s
 
 
-@when("a client sends a request that no route has")
+@when("a client sends a request that matches no route")
 def when_sent_nowhere(context):
     context.answer = context.gateway.send("/nowhere/x")
 
 
-@when("the gateway knows no configuration")
+@when("the gateway has no configuration")
 def when_no_configuration(context):
     context.gateway.forget_configuration()
 
 
-@when("a client sends a body of {size:d} bytes in pieces")
+@when("a client sends a body of {size:d} bytes in chunks")
 def when_sent_long(context, size):
     context.size = size
     pieces = (b"x" * 10_000 for _ in range(size // 10_000))
     context.answer = context.gateway.send("/idempotent/x", pieces)
 
 
-@when("a client asks for a stream that may be resumed")
+@when("a client requests a resumable stream")
 def when_resumable(context):
     context.answer = context.gateway.send("/resumable/x")
 
 
-@when("a client asks for a stream that may not be resumed")
+@when("a client requests a stream that is not resumable")
 def when_not_resumable(context):
     context.answer = context.gateway.send("/stream/x")
 
 
-@when("a client sends an idempotent request and leaves")
+@when("a client sends an idempotent request and disconnects")
 def when_left(context):
     context.left_id = context.gateway.send_and_leave("/idempotent/x")
 
@@ -174,13 +174,13 @@
     assert context.answer.status == status, context.answer
 
 
-@then("its answer names a time to come back")
+@then("its response has a Retry-After header")
 def then_retry_after(context):
     assert context.answer.status == 503
     assert 0 < float(context.answer.headers["Retry-After"]) < 1
 
 
-@then("it gets 504 within the time-out and a half second")
+@then("it gets 504 within half a second of the timeout")
 def then_timed_out(context):
     assert context.answer.status == 504, context.answer
     assert context.took_s < 0.8
@@ -199,7 +199,7 @@
     assert (answer.status, answer.whole, answer.body) == (200, True, wanted)
 
 
-@then("its answer is cut behind event {number:d}")
+@then("its response is cut off after event {number:d}")
 def then_cut(context, number):
     answer = context.answer
     assert not answer.whole
@@ -207,7 +207,7 @@
     assert wanted.startswith(answer.body)
 
 
-@then("a route's requests are shared by weight within one request, at any weights")
+@then("a route's requests are distributed by weight to within one request, for any weights")
 def then_shared(context):
     @settings(max_examples=60)
     @given(weights=st.lists(st.integers(0, 9), min_size=2, max_size=4).filter(any))
@@ -225,7 +225,7 @@
     shared()
 
 
-@then("the gateway ends its attempt within half a second")
+@then("the gateway aborts its attempt within half a second")
 def then_ended(context):
     loads, workers = context.gateway.loads, context.gateway.workers.all()
 
@@ -238,7 +238,7 @@
     assert in_hand() == 0
 
 
-@then("streams cancelled at any moment leave no place taken and no error behind")
+@then("streams cancelled at any moment leave no request in flight and no error behind")
 def then_places(context):
     job = make_job("job", 1, 1)
     route = Route(host=HOST, path_prefix="/draft/", kind=RouteKind.ROLLOUT)
@@ -263,7 +263,7 @@
 
 
 class ScriptedConnections:
-    """Ends each attempt as the script says; counts what really ran, by worker."""
+    """Ends each attempt as scripted and records which workers ran it."""
 
     def __init__(self, script):
         self.script = list(script)
@@ -282,8 +282,8 @@
 
 
 @then(
-    "whatever becomes of its attempts, a request runs no more often than its kind allows, and its "
-    "status is true"
+    "whatever the outcomes of its attempts, a request runs no more often than its "
+    "route allows, and its status is true"
 )
 def then_true_always(context):
     @settings(max_examples=300)
@@ -315,17 +315,17 @@
         if kind is RouteKind.NON_IDEMPOTENT:
             assert len(connections.ran) <= 1, "it ran twice"
         if not replayable:
-            assert len(connections.sent) <= 1, "a body was sent again that can't be"
+            assert len(connections.sent) <= 1, "a body that can't be replayed was sent again"
         if response.status in (429, 503):
-            assert not connections.ran, "refused although it ran"
+            assert not connections.ran, "refused although the request ran"
         if response.status in (200, 500):
-            assert connections.ran, "a worker's answer without a run"
+            assert connections.ran, "a worker's response although the request did not run"
         assert all(loads.in_flight(worker.incarnation) == 0 for worker in view.all())
 
     true_always()
 
 
-@when("the gateway stops as planned, and a client's request is there as it closes its listener")
+@when("the gateway shuts down gracefully, and a client's request arrives as it closes its listener")
 def when_stops(context):
     server = context.gateway.server
     settings = SimpleNamespace(node=SimpleNamespace(zone="a"))
@@ -340,7 +340,7 @@
     def stop_accepting(timeout_s):
         client = threading.Thread(target=send, daemon=True)
         client.start()
-        wait_until(lambda: server.busy_connections() > 0, "the request is there")
+        wait_until(lambda: server.busy_connections() > 0, "the request has arrived")
         sent.set()
         HttpServer.stop_accepting(server, timeout_s)
 
@@ -350,9 +350,9 @@
     assert sent.is_set()
 
 
-@then("that client gets its whole answer")
+@then("that client gets its complete response")
 def then_whole(context):
-    wait_until(lambda: context.last_answers, "the client's answer")
+    wait_until(lambda: context.last_answers, "the client's response")
     (answer,) = context.last_answers
     assert answer.status == 200, answer
     assert answer.whole, answer
--- a/features/steps/hosted_scaling_steps.py
+++ b/features/steps/hosted_scaling_steps.py
@@ -1,4 +1,4 @@
-"""Scaling before a platform in memory that starts workers as ordered."""
+"""Autoscaling against an in-memory platform that starts workers as ordered."""
 
 import json
 from itertools import pairwise
@@ -34,14 +34,14 @@
 
 
 class Fleet:
-    """Zones with workers: a zone holds what it was ordered to, `BOOT_S` after the order."""
+    """Platform with workers in zones; workers are ready `BOOT_S` after their order."""
 
     def __init__(self, zones=PRICES, each=3, policy="replace", holders=1):
         self.now_s = 0.0
         self.live = dict.fromkeys(zones, each)
         self.wanted = dict(self.live)
         self.due = []
-        self.dry = set()
+        self.exhausted = set()
         self.answers = []
         self.orders = []
         self.age_s = 0.0
@@ -68,7 +68,7 @@
     def order_workers(self, order, timeout_s):
         self.orders.append((self.now_s, order))
         answer = self.answers.pop(0) if self.answers else DutyAnswer.DONE
-        if order.zone in self.dry:
+        if order.zone in self.exhausted:
             return DutyAnswer.REFUSED
         if answer in (DutyAnswer.DONE, DutyAnswer.UNKNOWN):
             self.wanted[order.zone] = order.count
@@ -95,25 +95,23 @@
         self.workers.apply_listing(Listing(1, tuple(records)))
 
 
-@given_step("a service with {each:d} workers in each of 2 zones, at rest")
+@given_step("a service with {each:d} stable workers in each of 2 zones")
 def given_fleet(context, each, policy="replace"):
     context.fleet = Fleet(each=each, policy=policy)
     context.fleet.pass_time(15.0)
 
 
-@given_step(
-    'a service with {each:d} workers in each of 2 zones, at rest, with the policy "{policy}"'
-)
+@given_step('a service with {each:d} stable workers in each of 2 zones and the policy "{policy}"')
 def given_policy(context, each, policy):
     given_fleet(context, each, policy)
 
 
-@given_step('zone "{zone}" can have no worker')
-def given_dry(context, zone):
-    context.fleet.dry.add(zone)
+@given_step('zone "{zone}" has no capacity for workers')
+def given_exhausted(context, zone):
+    context.fleet.exhausted.add(zone)
 
 
-@given_step("the list of workers may be {seconds:d} seconds old")
+@given_step("the list of workers may be {seconds:d} seconds out of date")
 def given_old(context, seconds):
     context.fleet.age_s = float(seconds)
 
@@ -134,7 +132,8 @@
 
 
 @when(
-    'each worker of zone "{zone}" is replaced, the new one {seconds:d} seconds beside the old one'
+    'each worker of zone "{zone}" is replaced, with the old and the new one ready '
+    "for {seconds:d} seconds"
 )
 def when_replaced(context, zone, seconds):
     for _ in range(context.fleet.live[zone]):
@@ -151,8 +150,7 @@
 
 
 @then(
-    'zone "{zone}" was ordered to hold {count:d} workers, '
-    "and again only after those had time to start"
+    'zone "{zone}" was ordered to have {count:d} workers, again only after those had time to start'
 )
 def then_ordered(context, zone, count):
     orders = context.fleet.orders
@@ -161,19 +159,19 @@
     assert all(after - before > BOOT_S for before, after in pairwise(times))
 
 
-@then('zone "{zone}" was ordered to hold {count:d} workers')
+@then('zone "{zone}" was ordered to have {count:d} workers')
 def then_ordered_elsewhere(context, zone, count):
     assert (zone, count) in {(order.zone, order.count) for _, order in context.fleet.orders}
 
 
-@then("no zone was ordered to hold more")
+@then("no zone was ordered to have more")
 def then_no_more(context):
     context.fleet.pass_time(60.0)
     assert max(order.count for _, order in context.fleet.orders) == 4
     assert sum(context.fleet.live.values()) == 6, context.fleet.live
 
 
-@then("orders stay within what is allowed, come from one holder at a time and end with all workers")
+@then("orders stay within the limits, come from one holder at a time and restore all workers")
 def then_any(context):
     step = st.one_of(
         st.tuples(st.just("pass"), st.sampled_from((0.5, 3.0, 12.0))),
@@ -208,12 +206,12 @@
         assert sum(fleet.live.values()) >= 6, fleet.live
         quiet = len(fleet.orders)
         fleet.pass_time(60.0)
-        assert len(fleet.orders) == quiet, "orders go on though nothing is missing"
+        assert len(fleet.orders) == quiet, "orders continue although no worker is missing"
 
     any_losses()
 
 
-@then("an order names its service, zone, number, holder and fence")
+@then("an order has its service, zone, count, holder and fencing token")
 def then_wire(context):
     seen, statuses = [], [200, 409]
 
--- a/features/steps/hosted_tenants_steps.py
+++ b/features/steps/hosted_tenants_steps.py
@@ -1,4 +1,4 @@
-"""Tenants' keys at a hosted gateway, and the jobs that belong to a tenant."""
+"""API keys of tenants at a hosted gateway, and batch jobs owned by a tenant."""
 
 import contextlib
 import io
@@ -46,12 +46,12 @@
     'with another key of "dealers"': ("/idempotent/x", (bearer(KEYS["dealers"][1]),)),
     'with a key of "services"': ("/idempotent/x", (SERVICES,)),
     "without a key": ("/idempotent/x", ()),
-    "with a key that nobody has": ("/idempotent/x", (bearer(UNKNOWN_KEY),)),
+    "with an unknown key": ("/idempotent/x", (bearer(UNKNOWN_KEY),)),
     "with a key of another scheme": ("/idempotent/x", (("Authorization", "Basic a2V5"),)),
-    'of "services" that names "dealers"': ("/idempotent/x", (SERVICES, NAMES_DEALERS)),
-    "under a public route without a key": ("/single/x", ()),
-    'under a public route that names "dealers"': ("/single/x", (NAMES_DEALERS,)),
-    "under a public route with a key": ("/single/x", (DEALERS,)),
+    'of "services" with a tenant header': ("/idempotent/x", (SERVICES, NAMES_DEALERS)),
+    "to a public route without a key": ("/single/x", ()),
+    "to a public route with a tenant header": ("/single/x", (NAMES_DEALERS,)),
+    "to a public route with a key": ("/single/x", (DEALERS,)),
 }
 
 
@@ -112,7 +112,7 @@
     assert seen["authorization"] == DEALERS[1]
 
 
-@when('a configuration takes the first key of "dealers" away')
+@when('a configuration removes the first key of "dealers"')
 def when_taken(context):
     take(context, {**KEYS, "dealers": KEYS["dealers"][1:]})
 
@@ -135,7 +135,9 @@
     assert answer.status == 200
 
 
-@then("a known key is served, an unknown one is sent elsewhere, and no key is refused")
+@then(
+    "a request with a known key is served, with an unknown one gets 503, and without a key gets 401"
+)
 def then_old(context):
     send = context.gateway.send
     assert send("/idempotent/x", more=(DEALERS,)).status == 200
@@ -146,9 +148,7 @@
     assert send("/idempotent/x").status == 401
 
 
-@then(
-    "a known key is served up to the agreed age of the configuration, and sent elsewhere after it"
-)
+@then("a known key is accepted up to the maximum age of the configuration, and undecided after it")
 def then_strict(context):
     table = context.gateway.view.table()
     for strict, age_s, verdict in (
@@ -164,7 +164,7 @@
         assert check.check(table, None, is_public=True, request_id="r").verdict is Verdict.ALLOWED
 
 
-@then("a key is accepted as the newest configuration heard of says, in whatever order they come")
+@then("keys are checked against the newest configuration received, in whatever order they arrive")
 def then_newest(context):
     tenant_of_key = st.dictionaries(st.sampled_from("abcd"), st.sampled_from("xy"), max_size=4)
 
@@ -178,15 +178,15 @@
         view, check = ConfigurationView(), KeyCheck(lambda: age_s)
         arrivals = list(enumerate(versions, 1))
         order.shuffle(arrivals)
-        heard = 0
+        newest_version = 0
         for version, owners in arrivals:
-            # A tenant without keys is there in each, so that keys are always required.
+            # Each configuration has a tenant without keys, so that keys are always required.
             keys = {"z": (), **{name: [k for k in owners if owners[k] == name] for name in "xy"}}
             view.apply(configuration(version, tuple(keys.items())), "test")
-            heard = max(heard, version)
+            newest_version = max(newest_version, version)
             for key in "abcd":
                 found = check.check(view.table(), f"Bearer {key}", is_public=False, request_id="r")
-                owner = versions[heard - 1].get(key)
+                owner = versions[newest_version - 1].get(key)
                 assert found.tenant_name == (owner or "")
                 refused = Verdict.REFUSED if age_s == 0.0 else Verdict.UNDECIDED
                 assert found.verdict is (Verdict.ALLOWED if owner else refused)
@@ -210,7 +210,7 @@
     take(context, {**KEYS, "dealers": ()})
 
 
-@then("no log line, metric, answer or worker has seen a key")
+@then("no log line, metric, response or worker contains a key")
 def then_secret(context):
     statuses = {answer.status for answer in context.answers}
     assert {200, 401, 404, 503} <= statuses, statuses
@@ -224,7 +224,7 @@
             assert key.encode() not in place, place
 
 
-@then("what is told of it holds nothing of what the store answered")
+@then("its error detail contains nothing of the store's response")
 def then_store_error(context):
     key = KEYS["dealers"][0]
 
@@ -259,12 +259,12 @@
     return context.api.serve_call(call(method, path, query=query), tenant).status
 
 
-@then('"dealers" reads it, its bodies and its end')
+@then('"dealers" can read the job and its items')
 def then_own(context):
     assert [status_of(context, what, "dealers") for what in (READ, BODY)] == [200, 200]
 
 
-@then('to "services" it is not there, before and after a snapshot')
+@then('for "services" the job does not exist, before and after a snapshot')
 def then_foreign(context):
     for _ in range(2):
         for what in (READ, BODY, END):
@@ -277,7 +277,7 @@
     assert not context.ledger.machine.jobs["job"].is_open
 
 
-@then('"services" can\'t hand in a job with its id')
+@then('"services" can\'t submit a job with the same id')
 def then_id_in_use(context):
     sent = call("POST", "/draft/job", job_document())
     assert context.api.accept(sent, ROUTE, "services").status == 409
@@ -285,7 +285,7 @@
     assert context.api.accept(again, ROUTE, "dealers").status == 202
 
 
-@given_step('a leader with a job of "dealers" whose items\' headers hold keys and names of tenants')
+@given_step('a leader with a job of "dealers" whose items\' headers contain keys and tenant names')
 def given_leader(context):
     context.leader = make_leader(context)
     job = make_job("job", 4, 2)
@@ -299,7 +299,7 @@
     wait_until(lambda: len(state.results) == 4, "all items are listed")
 
 
-@then('every item ran for "dealers" without a key, and no reward call for anybody')
+@then('every item ran for "dealers" without a key, and all reward calls ran without a tenant')
 def then_items(context):
     seen = {}
     for worker in (*context.leader.models, *context.leader.scorers):
@@ -315,7 +315,7 @@
     assert not any("authorization" in headers for headers in seen.values())
 
 
-@then("a job that was kept without a tenant is read and ended with any key")
+@then("a job stored without a tenant can be read and ended with any key")
 def then_earlier(context):
     before = SimpleNamespace(ledger=MemoryLedger())
     before.api = BatchApi(before.ledger, HEADERS, PATHS)
--- a/features/steps/hosted_usage_steps.py
+++ b/features/steps/hosted_usage_steps.py
@@ -1,4 +1,4 @@
-"""Usage: counted at gateways, added up in the log, reported under the lease."""
+"""Usage metering: counted at gateways, added up in the log, reported by the lease holder."""
 
 import json
 from types import SimpleNamespace
@@ -34,16 +34,16 @@
 
 
 class UsageLedger:
-    """Applies commands at once, through their encoding, unless it is away."""
+    """Applies commands synchronously, encoded and decoded, unless it is unavailable."""
 
     def __init__(self):
         self.machine = UsageWindows()
         self.codec = Codec([UsageWindows])
-        self.is_away = False
+        self.is_unavailable = False
         self.loses_answers = False
 
     def submit(self, key, command, timeout_s):
-        if self.is_away:
+        if self.is_unavailable:
             return Failure(LedgerError(LedgerErrorKind.UNAVAILABLE, "test"))
         reply = self.machine.apply(self.codec.decode(self.codec.encode(command), type(command)))
         if self.loses_answers:
@@ -63,7 +63,7 @@
 
 
 class FakePlatform:
-    """Takes reports; `answers` says what becomes of the next ones."""
+    """Accepts reports; `answers` holds the outcomes of the next calls."""
 
     def __init__(self):
         self.taken = []
@@ -79,11 +79,11 @@
 
 
 def make_reporter(ledger, lease, platform, clock, node="node"):
-    true_time = StableWallClock(clock, clock)
-    return UsageReporter(lease, ledger, platform, SETTINGS, node, true_time, lambda: True)
+    wall_clock = StableWallClock(clock, clock)
+    return UsageReporter(lease, ledger, platform, SETTINGS, node, wall_clock, lambda: True)
 
 
-@given_step("a gateway that counts for tenants, before two workers")
+@given_step("a gateway that counts usage of tenants, with two workers")
 def given_gateway(context):
     context.workers = {name: WorkerStandIn(f"i-{name}") for name in "ab"}
     context.gateway = GatewayUnderTest(list(context.workers.values()))
@@ -93,22 +93,20 @@
     context.gateway.view.apply(configuration(2, (("dealers", ("k",)),), ("/short/",)), "test")
 
 
-@then(
-    "a request is counted once for its tenant, also when it runs twice, and not when it is refused"
-)
+@then("a request is counted once for its tenant, even if it runs twice, and not if it is refused")
 def then_counted(context):
     key = (("Authorization", "Bearer k"),)
 
     by_window = {}
 
     def counted(path="/idempotent/x", more=key, **faults):
-        """Return all requests counted so far, and whether this one was."""
+        """Return the number of requests counted so far, and whether this one was counted."""
         for worker in context.workers.values():
             for name, value in faults.items():
                 setattr(worker.faults, name, value)
         context.gateway.send(path, more=more)
         unsent = context.gateway.usage.take_unsent()
-        # A window may end at any moment: what is told of the next one begins anew.
+        # A window may end at any moment, and the counts of the next one start at zero.
         by_window.update({each.window: each.counts.get("dealers", 0) for each in unsent})
         return sum(by_window.values()), bool(unsent)
 
@@ -122,7 +120,7 @@
     assert counted() == (5, True)
 
 
-@then("a window's sum is what its gateways had told when it was settled, and never changes")
+@then("a window's total is what its gateways had sent when it was settled, and never changes")
 def then_sums(context):
     window = st.one_of(st.integers(0, 2), st.integers(0, 30))
     step = st.one_of(
@@ -144,13 +142,13 @@
                 counters[number].record_start("t", detail + 0.5)
                 begun[number][detail] = begun[number].get(detail, 0) + 1
             elif what == "tell":
-                ledger.is_away, ledger.loses_answers = detail == "away", detail == "lost"
+                ledger.is_unavailable, ledger.loses_answers = detail == "away", detail == "lost"
                 kept = sorted(begun[number])[-8:]
                 begun[number] = {window: begun[number][window] for window in kept}
                 senders[number].send(1.0)
                 if detail != "away":
                     told.update({(number, w): n for w, n in begun[number].items()})
-                ledger.is_away = ledger.loses_answers = False
+                ledger.is_unavailable = ledger.loses_answers = False
             elif what == "settle":
                 if number not in settled and number <= max(settled, default=0) - 24:
                     continue
@@ -167,20 +165,20 @@
     sums()
 
 
-@given_step("a ledger that is away for a while")
+@given_step("a ledger that is unavailable for a while")
 def given_away(context):
     context.ledger = UsageLedger()
-    context.ledger.is_away = True
+    context.ledger.is_unavailable = True
 
 
-@then("counts are told again until they are there, and none twice")
+@then("counts are sent again until they are stored, and none is counted twice")
 def then_told(context):
     counter = UsageCounter(5.0, StableWallClock(lambda: 0.0, lambda: 0.0))
     sender = UsageSender(counter, context.ledger, "gateway")
     counter.record_start("t", 1.0)
     assert not sender.send(1.0)
     counter.record_start("t", 2.0)
-    context.ledger.is_away, context.ledger.loses_answers = False, True
+    context.ledger.is_unavailable, context.ledger.loses_answers = False, True
     assert not sender.send(1.0)
     context.ledger.loses_answers = False
     assert sender.send(1.0)
@@ -193,7 +191,7 @@
     assert context.ledger.submit("", SettleUsage(0), 1.0).unwrap().counts == {"t": 3}
 
 
-@then("every report of a window has the same counts, and fences never go back")
+@then("every report of a window has the same counts, and fencing tokens never decrease")
 def then_same(context):
     step = st.one_of(
         st.tuples(st.just("count"), st.integers(0, 3)),
@@ -227,7 +225,7 @@
             elif what == "answer":
                 platform.answers.append(value)
             else:
-                ledger.is_away, ledger.loses_answers = value == "away", value == "lost"
+                ledger.is_unavailable, ledger.loses_answers = value == "away", value == "lost"
             for each in reporters:
                 each.step()
         first = {}
@@ -278,14 +276,14 @@
     assert context.platform.calls == len(windows)
 
 
-@when("the platform is silent for a while")
+@when("the platform takes no reports for a while")
 def when_silent(context):
     context.before = len(context.platform.taken)
     context.platform.answers = [DutyAnswer.NOT_DONE] * 15
     let_pass(context, 15.0)
 
 
-@then("the windows of that time are reported as soon as it answers")
+@then("the windows of that time are reported as soon as it takes reports again")
 def then_caught_up(context):
     windows = [report.window for report in context.platform.taken]
     assert windows == list(range(windows[0], windows[0] + len(windows)))
@@ -293,13 +291,13 @@
     assert not any(name == "usage_missed" for name, _ in context.lines)
 
 
-@when("the platform is silent until windows are overdue")
+@when("the platform takes no reports until windows are overdue")
 def when_long(context):
     context.platform.answers = [DutyAnswer.NOT_DONE] * 75
     let_pass(context, 30.0)
 
 
-@then("those are passed over, with a line that says so")
+@then("those are skipped and logged as missed")
 def then_passed_over(context):
     reported = {report.window for report in context.platform.taken}
     missed = {fields["window"] for name, fields in context.lines if name == "usage_missed"}
@@ -309,17 +307,19 @@
     assert missed | reported == set(range(first, max(reported) + 1))
 
 
-@then("true time does not follow a jump that does not last, and follows one that does")
+@then("the stable clock ignores a jump that does not last, and adopts one that does")
 def then_true(context):
-    now = SimpleNamespace(steady_s=0.0, jump_s=0.0)
-    true_time = StableWallClock(lambda: 100.0 + now.steady_s + now.jump_s, lambda: now.steady_s)
+    clocks = SimpleNamespace(monotonic_s=0.0, jump_s=0.0)
+    wall_clock = StableWallClock(
+        lambda: 100.0 + clocks.monotonic_s + clocks.jump_s, lambda: clocks.monotonic_s
+    )
 
     def after(seconds, jump_s):
-        now.jump_s = jump_s
+        clocks.jump_s = jump_s
         for _ in range(round(seconds / 0.5)):
-            now.steady_s += 0.5
-            found_s = true_time.now_s()
-        return round(found_s - now.steady_s, 6)
+            clocks.monotonic_s += 0.5
+            found_s = wall_clock.now_s()
+        return round(found_s - clocks.monotonic_s, 6)
 
     assert after(10.0, 0.0) == 100.0
     assert after(6.0, 3.0) == 100.0
@@ -344,7 +344,7 @@
     context.duties = PlatformDuties(server.address)
 
 
-@then("a report names its window, counts, holder and fence, and its answers are understood")
+@then("a report has its window, counts, holder and fencing token, and all statuses are understood")
 def then_wire(context):
     report = UsageReport(7, {"dealers": 3}, "store-1", 12)
     assert context.duties.report_usage(report, 1.0) is DutyAnswer.DONE
@@ -362,8 +362,8 @@
 @then("usage of the next 30 windows is settled as it was counted")
 def then_still_counted(context):
     machine = context.ledger.machine
-    now = context.window
-    for window in range(now - 1, now + 30):
+    current = context.window
+    for window in range(current - 1, current + 30):
         told = machine.apply(AddUsage("g/1", (WindowCounts(window, {"dealers": window}),)))
         assert not told.too_late, f"the counts of window {window} are refused"
         assert machine.apply(SettleUsage(window)).counts == {"dealers": window}
--- a/features/support/hosted_gateway.py
+++ b/features/support/hosted_gateway.py
@@ -1,4 +1,4 @@
-"""A hosted gateway's request interface in this process, before stand-ins of workers."""
+"""A hosted gateway's request interface in this process, with stand-in workers."""
 
 import http.client
 import itertools
@@ -43,7 +43,7 @@
 
 
 def configuration(version=1, tenants=(), public=()):
-    """`tenants` are names with their keys; `public` holds prefixes of routes without a key."""
+    """`tenants` are pairs of name and keys; `public` holds path prefixes of public routes."""
     routes = [
         {"host": HOST, "pathPrefix": prefix, "kind": kind, "service": "app"}
         | {"timeoutMs": 10_000, "targetMs": 2_000}
@@ -63,7 +63,7 @@
 
 
 class SharedWorkerStats:
-    """What other gateways are said to have seen, by incarnation."""
+    """Fake statistics shared by other gateways, by incarnation."""
 
     def __init__(self):
         self.stats_by_worker = {}
@@ -73,7 +73,7 @@
 
 
 class GatewayUnderTest:
-    """Listens on loopback; `close` ends it."""
+    """A gateway listening on loopback until `close` is called."""
 
     def __init__(self, workers, sight=None, room_settings=None):
         self.executors = Executors()
@@ -139,7 +139,7 @@
         self._connections.retain(set())
 
     def send(self, path, body=b"body", deadline_ms=5_000, host=HOST, more=()):
-        """Send one request; its answer with status, headers, body and whether it was whole."""
+        """Send one request; return status, headers, body and whether the body is complete."""
         request_id = f"request-{next(self._numbers)}"
         connection = http.client.HTTPConnection(self.address, timeout=20.0)
         headers = {
@@ -166,7 +166,7 @@
         )
 
     def send_and_leave(self, path):
-        """Send a request on a connection and close it at once after."""
+        """Send a request and close its connection shortly after."""
         request_id = f"request-{next(self._numbers)}"
         host, port = self.address.split(":")
         connection = socket.create_connection((host, int(port)))
