--- a/features/hosted_tenants.feature
+++ b/features/hosted_tenants.feature
@@ -7,7 +7,7 @@
 
   Scenario Outline: Which requests are run, and for whom
     When a client sends a request <what>
-    Then it gets <status>, and its worker was told of <tenant>
+    Then it gets <status>, and the request ran for <tenant>
 
     Examples:
       | what                                       | status | tenant       |
--- a/features/hosted_usage.feature
+++ b/features/hosted_usage.feature
@@ -6,10 +6,10 @@
     Given a gateway that counts usage of tenants, with two workers
     Then a request is counted once for its tenant, even if it runs twice, and not if it is refused
 
-  Scenario: Counts told in any order, again and again, lost and through snapshots
+  Scenario: Counts sent in any order, repeatedly, lost and across snapshots
     Then a window's total is what its gateways had sent when it was settled, and never changes
 
-  Scenario: Counts that can't be told
+  Scenario: Counts that can't be sent
     Given a ledger that is unavailable for a while
     Then counts are sent again until they are stored, and none is counted twice
 
--- a/features/steps/hosted_tenants_steps.py
+++ b/features/steps/hosted_tenants_steps.py
@@ -93,8 +93,8 @@
     return next((headers for headers in found if headers is not None), None)
 
 
-@then("it gets {status:d}, and its worker was told of {tenant}")
-def then_told(context, status, tenant):
+@then("it gets {status:d}, and the request ran for {tenant}")
+def then_ran_for(context, status, tenant):
     assert context.answer.status == status, context.answer
     seen = seen_headers(context, context.answer.request_id)
     if tenant == "nobody":
--- a/features/steps/hosted_usage_steps.py
+++ b/features/steps/hosted_usage_steps.py
@@ -125,7 +125,7 @@
     window = st.one_of(st.integers(0, 2), st.integers(0, 30))
     step = st.one_of(
         st.tuples(st.just("begin"), st.integers(0, 2), window),
-        st.tuples(st.just("tell"), st.integers(0, 2), st.sampled_from(("", "away", "lost"))),
+        st.tuples(st.just("send"), st.integers(0, 2), st.sampled_from(("", "away", "lost"))),
         st.tuples(st.just("settle"), window, st.none()),
         st.tuples(st.just("snapshot"), st.none(), st.none()),
     )
@@ -136,24 +136,24 @@
         ledger = UsageLedger()
         counters = [UsageCounter(1.0, StableWallClock(lambda: 0.0, lambda: 0.0)) for _ in range(3)]
         senders = [UsageSender(counters[at], ledger, f"gateway-{at}") for at in range(3)]
-        begun, told, settled = [{}, {}, {}], {}, {}
+        begun, sent, settled = [{}, {}, {}], {}, {}
         for what, number, detail in steps:
             if what == "begin":
                 counters[number].record_start("t", detail + 0.5)
                 begun[number][detail] = begun[number].get(detail, 0) + 1
-            elif what == "tell":
+            elif what == "send":
                 ledger.is_unavailable, ledger.loses_answers = detail == "away", detail == "lost"
                 kept = sorted(begun[number])[-8:]
                 begun[number] = {window: begun[number][window] for window in kept}
                 senders[number].send(1.0)
                 if detail != "away":
-                    told.update({(number, w): n for w, n in begun[number].items()})
+                    sent.update({(number, w): n for w, n in begun[number].items()})
                 ledger.is_unavailable = ledger.loses_answers = False
             elif what == "settle":
                 if number not in settled and number <= max(settled, default=0) - 24:
                     continue
                 reply = ledger.submit("", SettleUsage(number), 1.0).unwrap()
-                wanted = sum(n for (_, window), n in told.items() if window == number)
+                wanted = sum(n for (_, window), n in sent.items() if window == number)
                 if number not in settled:
                     settled[number] = {"t": wanted} if wanted else {}
                 if number > max(settled) - 24:
@@ -166,13 +166,13 @@
 
 
 @given_step("a ledger that is unavailable for a while")
-def given_away(context):
+def given_unavailable(context):
     context.ledger = UsageLedger()
     context.ledger.is_unavailable = True
 
 
 @then("counts are sent again until they are stored, and none is counted twice")
-def then_told(context):
+def then_resent(context):
     counter = UsageCounter(5.0, StableWallClock(lambda: 0.0, lambda: 0.0))
     sender = UsageSender(counter, context.ledger, "gateway")
     counter.record_start("t", 1.0)
@@ -277,7 +277,7 @@
 
 
 @when("the platform takes no reports for a while")
-def when_silent(context):
+def when_no_reports(context):
     context.before = len(context.platform.taken)
     context.platform.answers = [DutyAnswer.NOT_DONE] * 15
     let_pass(context, 15.0)
@@ -298,7 +298,7 @@
 
 
 @then("those are skipped and logged as missed")
-def then_passed_over(context):
+def then_skipped(context):
     reported = {report.window for report in context.platform.taken}
     missed = {fields["window"] for name, fields in context.lines if name == "usage_missed"}
     assert missed
@@ -308,7 +308,7 @@
 
 
 @then("the stable clock ignores a jump that does not last, and adopts one that does")
-def then_true(context):
+def then_stable_clock(context):
     clocks = SimpleNamespace(monotonic_s=0.0, jump_s=0.0)
     wall_clock = StableWallClock(
         lambda: 100.0 + clocks.monotonic_s + clocks.jump_s, lambda: clocks.monotonic_s
@@ -364,8 +364,8 @@
     machine = context.ledger.machine
     current = context.window
     for window in range(current - 1, current + 30):
-        told = machine.apply(AddUsage("g/1", (WindowCounts(window, {"dealers": window}),)))
-        assert not told.too_late, f"the counts of window {window} are refused"
+        reply = machine.apply(AddUsage("g/1", (WindowCounts(window, {"dealers": window}),)))
+        assert not reply.too_late, f"counts of window {window} are refused"
         assert machine.apply(SettleUsage(window)).counts == {"dealers": window}
 
 
--- a/src/bellweir/hosted/scaling/controller.py
+++ b/src/bellweir/hosted/scaling/controller.py
@@ -89,10 +89,10 @@
         limits: ScalingLimits,
     ) -> None:
         zone = zones[decision.zone]
-        fence = self._lease.begin_operation(CALL_TIMEOUT_S)
-        if fence == 0:
+        fencing_token = self._lease.begin_operation(CALL_TIMEOUT_S)
+        if fencing_token == 0:
             return
-        order = WorkersOrder(service, decision.zone, decision.count, self._node, fence)
+        order = WorkersOrder(service, decision.zone, decision.count, self._node, fencing_token)
         answer = self._platform.order_workers(order, CALL_TIMEOUT_S)
         emit(
             WORKERS_ORDERED,
@@ -102,7 +102,7 @@
             standing=zone.desired,
             wanted=decision.count,
             reason=decision.reason,
-            fence=fence,
+            fence=fencing_token,
             answer=answer.value,
         )
         now_s = self._now_s()
--- a/src/bellweir/hosted/scaling/interface.py
+++ b/src/bellweir/hosted/scaling/interface.py
@@ -59,7 +59,7 @@
         self.replaced_zones = replaced_zones
 
     def __repr__(self) -> str:
-        return f"Wish({self.zone!r}, {self.count}, {self.reason!r})"
+        return f"ScalingDecision({self.zone!r}, {self.count}, {self.reason!r})"
 
 
 class ScalingPolicy(ABC):
--- a/src/bellweir/hosted/scaling/policies.py
+++ b/src/bellweir/hosted/scaling/policies.py
@@ -32,7 +32,7 @@
     >>> ReplacePolicy().decide({"a": zone}, limits, now_s=1.0)
     []
     >>> ReplacePolicy().decide({"a": zone}, limits, now_s=8.0)
-    [Wish('a', 6, '2 missing')]
+    [ScalingDecision('a', 6, '2 missing')]
     """
 
     def decide(
--- a/src/bellweir/hosted/serving/directory.py
+++ b/src/bellweir/hosted/serving/directory.py
@@ -7,7 +7,7 @@
 
 PATH = "/endpoints"
 TTL_S = 1.0
-"""Cache lifetime told to clients; some cache up to three times as long."""
+"""Cache lifetime sent to clients; some cache up to three times as long."""
 MAX_ADDRESSES = 64
 MIN_ZONE_GATEWAYS = 2
 """With fewer gateways in the client's zone, all gateways of its region are returned."""
--- a/src/bellweir/hosted/serving/forwarding.py
+++ b/src/bellweir/hosted/serving/forwarding.py
@@ -182,7 +182,7 @@
         return self._gate.admit(_queue_of(client), waiting, workers, cancellation.cancelled.is_set)
 
     def _end_dispatch(self, client: ClientRequest, progress: Progress) -> None:
-        """Tell the gate, once, that the request is counted at a worker or has ended."""
+        """Notify the gate, once, that the request is counted at a worker or has ended."""
         if progress.is_dispatching and self._gate is not None:
             progress.is_dispatching = False
             self._gate.dispatch_done(_queue_of(client))
--- a/src/bellweir/hosted/serving/service.py
+++ b/src/bellweir/hosted/serving/service.py
@@ -250,9 +250,9 @@
         server.closing_connections = True
         emit(PROCESS_DRAINING, in_flight=server.busy_connections())
         end_s = began_s + max(0.0, deadline_s - STOP_MARGIN_S)
-        quiet_from_s = min(began_s + ADDRESS_TTL_FACTOR * TTL_S, end_s)
+        addresses_expired_s = min(began_s + ADDRESS_TTL_FACTOR * TTL_S, end_s)
         while time.monotonic() < end_s:
-            if time.monotonic() >= quiet_from_s and not server.busy_connections():
+            if time.monotonic() >= addresses_expired_s and not server.busy_connections():
                 break
             threading.Event().wait(DRAIN_POLL_INTERVAL_S)
         server.stop_accepting(STOP_MARGIN_S / 2)
--- a/src/bellweir/hosted/usage/reporter.py
+++ b/src/bellweir/hosted/usage/reporter.py
@@ -64,8 +64,8 @@
             self._next_window = None
             return
         now_s = self._clock.now_s()
-        oldest = self._window_that_ended(now_s - self._settings.late_s + DEADLINE_MARGIN_S) + 1
-        newest = self._window_that_ended(now_s - SETTLE_SHARE * self._settings.late_s)
+        oldest = self._last_ended_window(now_s - self._settings.late_s + DEADLINE_MARGIN_S) + 1
+        newest = self._last_ended_window(now_s - SETTLE_SHARE * self._settings.late_s)
         if self._next_window is None:
             self._next_window = oldest
         for window in range(self._next_window, oldest):
@@ -76,7 +76,7 @@
                 return
             self._next_window = window + 1
 
-    def _window_that_ended(self, wall_time_s: float) -> int:
+    def _last_ended_window(self, wall_time_s: float) -> int:
         """Return the latest window that has ended at a time."""
         return int(wall_time_s // self._settings.window_s) - 1
 
@@ -93,10 +93,10 @@
             # Its counts are gone, and a report without them would contradict an earlier one.
             self._miss(window)
             return True
-        fence = self._lease.begin_operation(CALL_TIMEOUT_S)
-        if fence == 0:
+        fencing_token = self._lease.begin_operation(CALL_TIMEOUT_S)
+        if fencing_token == 0:
             return False
-        report = UsageReport(window, reply.counts, self._node, fence)
+        report = UsageReport(window, reply.counts, self._node, fencing_token)
         answer = self._platform.report_usage(report, CALL_TIMEOUT_S)
         self._count(answer.value)
         emit(
@@ -104,7 +104,7 @@
             window=window,
             requests=sum(reply.counts.values()),
             tenants=len(reply.counts),
-            fence=fence,
+            fence=fencing_token,
             answer=answer.value,
         )
         return answer in (DutyAnswer.DONE, DutyAnswer.INVALID)
--- a/src/bellweir/hosted/usage/sender.py
+++ b/src/bellweir/hosted/usage/sender.py
@@ -70,7 +70,7 @@
             self._kernel.executors.run_task("tell-usage", self._run)
 
     def stop(self) -> None:
-        """Send the remaining counts; the counting service has already stopped."""
+        """Send the remaining counts; the service that counts requests has already stopped."""
         sender, self._sender = self._sender, None
         if sender is not None:
             sender.send(FINAL_SEND_TIMEOUT_S)
--- a/src/bellweir/hosted/usage/state.py
+++ b/src/bellweir/hosted/usage/state.py
@@ -13,7 +13,7 @@
 
 USAGE_KEY = "usage"
 """Ledger key of the usage state."""
-MAX_WINDOWS = 24
+MAX_SETTLED_WINDOWS = 24
 """Number of settled windows kept; a window is reported within two windows of its end."""
 
 
@@ -111,23 +111,23 @@
         if self._is_settled(window):
             counts = self.settled.get(window)
             return UsageSettled(counts or {}, False, counts is None)
-        sums: dict[str, int] = {}
+        totals: dict[str, int] = {}
         for counts in self.counts_by_source.pop(window, {}).values():
             for tenant, count in counts.items():
-                sums[tenant] = sums.get(tenant, 0) + count
-        self.settled[window] = sums
+                totals[tenant] = totals.get(tenant, 0) + count
+        self.settled[window] = totals
         self._discard_old()
-        return UsageSettled(sums)
+        return UsageSettled(totals)
 
     def _discard_old(self) -> None:
-        """Discard the oldest settled windows beyond `MAX_WINDOWS`, and all counts up to them.
+        """Discard settled windows beyond `MAX_SETTLED_WINDOWS`, oldest first, and earlier counts.
 
         The limit is a number of windows, not a distance from the newest one: a holder whose clock
         is ahead settles future windows, which must not make current ones count as too late.
         """
-        if len(self.settled) <= MAX_WINDOWS:
+        if len(self.settled) <= MAX_SETTLED_WINDOWS:
             return
-        up_to = sorted(self.settled)[-MAX_WINDOWS - 1]
+        up_to = sorted(self.settled)[-MAX_SETTLED_WINDOWS - 1]
         self._forgotten_up_to = up_to
         self.counts_by_source = {
             window: each for window, each in self.counts_by_source.items() if window > up_to
