--- a/src/bellweir/hosted/batches/coordinator.py
+++ b/src/bellweir/hosted/batches/coordinator.py
@@ -159,7 +159,9 @@
             if route is not None:
                 steps.append(OpenStep(state, route))
                 found = list(self._waiting_in(state, route, jobs))
-                waiting += sorted(found, key=self._urgency) if self._policy.long_first else found
+                waiting += (
+                    sorted(found, key=self._order_in_job) if self._policy.long_first else found
+                )
         if self._policy.order_by_need:
             with self._lock:
                 known, running = dict(self._progress), list(self._running)
@@ -169,10 +171,10 @@
 
     def _rank(self, progress: ItemProgress) -> int:
         """Sort key among the items of all jobs: items already started go first."""
-        is_begun = progress.stage is not Stage.GENERATION or progress.moved_to is not None
-        return -1 if is_begun else self._step_scheduler.rank(progress)
+        is_started = progress.stage is not Stage.GENERATION or progress.moved_to is not None
+        return -1 if is_started else self._step_scheduler.rank(progress)
 
-    def _urgency(self, progress: ItemProgress) -> tuple[bool, bool, float]:
+    def _order_in_job(self, progress: ItemProgress) -> tuple[bool, bool, float]:
         """Sort key in a job: scoring first, then moved generations, then the longest remainder."""
         expected = self._attempts.predicted_events(progress) - progress.events
         return progress.stage is Stage.GENERATION, not progress.moved_to, -expected
