--- a/src/bellweir/hosted/sight/outlier_detection.py
+++ b/src/bellweir/hosted/sight/outlier_detection.py
@@ -29,7 +29,7 @@
 MAX_EJECTED_SHARE = 0.5
 """Share of a service's workers; the others have to carry the load."""
 MIN_FAILURES = 1.8
-"""Two recent failures: a single one may be the fault of the request."""
+"""Two recent failures, allowing for decay: a single one may be the fault of the request."""
 MIN_ANSWERS = 2.5
 """Answers required for the median of the worker under test."""
 MIN_REFERENCE_REQUESTS = 1.5
