--- a/features/steps/hosted_room_gateway_steps.py
+++ b/features/steps/hosted_room_gateway_steps.py
@@ -45,7 +45,7 @@
 def set_stats(context, in_flight, names="ab", age_s=0.05, **more):
     for name in names:
         incarnation = context.gateway.workers.worker(f"i-{name}").incarnation
-        context.gateway.known_workers.told[incarnation] = WorkerStats(
+        context.gateway.shared_stats.stats_by_worker[incarnation] = WorkerStats(
             incarnation, in_flight, LATENCY_S, LATENCY_S, age_s, **more
         )
 
--- a/src/bellweir/hosted/batches/progress.py
+++ b/src/bellweir/hosted/batches/progress.py
@@ -1,10 +1,10 @@
-"""What the coordinator knows of an item that is not listed yet."""
+"""Progress of items that have no recorded result yet."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 from enum import Enum
 
-from bellweir.hosted.batches.state import ItemResult, Job, JobItem, TextPart
+from bellweir.hosted.batches.state import ItemResult, Job, JobItem, TextCheckpoint
 from bellweir.hosted.batches.text_compression import compress_text, decompress_text
 from bellweir.hosted.event_stream import StreamEvent
 from bellweir.hosted.incarnation import Incarnation
@@ -14,76 +14,76 @@
 class Stage(Enum):
     """What an item needs next."""
 
-    TEXT = "text"
-    """Its events, or the rest of them."""
-    SCORE = "score"
-    """Its text is whole and is to be scored."""
+    GENERATION = "text"
+    """Generate the text, or the rest of it."""
+    SCORING = "score"
+    """Score the complete text."""
     RESULT = "result"
-    """Its result waits to be committed."""
+    """Commit the result."""
 
 
 class VersionTooOldError(ValueError):
-    """The worker's weights are older than the job allows."""
+    """The worker's weight version is lower than the job's minimum."""
 
 
 class VersionMixedError(ValueError):
-    """The text would be of two versions, which the route does not allow."""
+    """The text would mix weight versions, which the route does not allow."""
 
 
 class EventsMissingError(ValueError):
-    """The worker left out events."""
+    """The worker skipped events."""
 
 
 @dataclass
 class ItemProgress:
-    """One item. Changed by one attempt at a time, and by the coordinator between attempts."""
+    """State of one item, changed by its running attempt, and by the coordinator in between."""
 
     job: Job
     route: Route
     item: JobItem
-    stage: Stage = Stage.TEXT
+    stage: Stage = Stage.GENERATION
     pieces: list[str] = field(default_factory=list)
     last_event_id: int | None = None
     events: int = 0
-    """Events that the pieces hold; a piece taken over from elsewhere may hold several."""
-    kept_events: int = 0
-    """Events of these that were handed to the committer to be kept."""
-    kept_pieces: int = 0
-    kept_s: float = 0.0
-    """Monotonic time at which that was done last, or at which the run began."""
+    """Events in the pieces; a piece from a checkpoint or an earlier job may hold several."""
+    checkpointed_events: int = 0
+    """Events of these that are in checkpoints handed to the committer."""
+    checkpointed_pieces: int = 0
+    checkpointed_s: float = 0.0
+    """Monotonic time of the last checkpoint, or of the start of the attempt."""
     versions: list[int] = field(default_factory=list)
-    """Versions that made events, in order of their first one."""
-    failed_at: list[Incarnation] = field(default_factory=list)
-    """The worker of each answer of 500 to the item's own request."""
-    score_failed_at: list[Incarnation] = field(default_factory=list)
-    """The same for its scoring."""
+    """Weight versions that generated the events, in order of their first one."""
+    generation_failures: list[Incarnation] = field(default_factory=list)
+    """The worker of each status 500 for the generation request."""
+    scoring_failures: list[Incarnation] = field(default_factory=list)
+    """The worker of each status 500 for the scoring request."""
     score: str = ""
     attempts: int = 0
     not_before_s: float = 0.0
-    """Monotonic time before which no attempt is made."""
+    """Monotonic time before which no attempt starts."""
     result: ItemResult | None = None
     is_committing: bool = False
-    """Whether the committer has the result."""
+    """Whether the result is queued at the committer."""
     guessed_tokens: float | None = None
-    """Tokens that the caller guesses the text to have."""
-    heard_s: float = 0.0
-    """Monotonic time of the newest event of the run in hand, or of its start."""
+    """Length hint of the caller."""
+    last_event_s: float = 0.0
+    """Monotonic time of the newest event of the running attempt, or of its start."""
     moved_s: float = 0.0
-    """Monotonic time at which it was last moved to another worker."""
+    """Monotonic time of the last move to another worker."""
     moved_to: Incarnation | None = None
-    """Where it is to go on; None once it does."""
+    """Worker that the next attempt is to use; None once it has started."""
     urgency: int | None = None
-    """Urgency to tell its worker, 0 first; None: the usual one."""
+    """Urgency sent to the worker, 0 is the highest; None: the default one."""
     held_since_s: float | None = None
-    """Monotonic time since which it waits for a better worker while others have room."""
+    """Monotonic time since which it waits for a better worker while others have free slots."""
 
     @property
-    def failed_at_now(self) -> list[Incarnation]:
-        """Workers that failed what the item needs next."""
-        return self.score_failed_at if self.stage is Stage.SCORE else self.failed_at
+    def stage_failures(self) -> list[Incarnation]:
+        """Workers that answered 500 in the current stage."""
+        return self.scoring_failures if self.stage is Stage.SCORING else self.generation_failures
 
     def add_event(self, event: StreamEvent, version: int | None) -> None:
-        """Append an event made by `version`; events that are known already are dropped.
+        """Append an event generated by weight version `version`; duplicates are dropped.
 
         Raises `EventsMissingError`, `VersionTooOldError` or `VersionMixedError`.
         """
@@ -92,7 +92,7 @@
             if event.event_id <= known:
                 return
             if event.event_id > known + 1:
-                raise EventsMissingError(f"event {event.event_id} after {known}")
+                raise EventsMissingError(f"worker sent event {event.event_id} after {known}")
         if version is not None:
             self._add_version(version)
         self.pieces.append(event.data.decode("utf-8", "surrogateescape"))
@@ -102,83 +102,85 @@
 
     def _add_version(self, version: int) -> None:
         if version < self.job.minimum_version:
-            raise VersionTooOldError(f"version {version}, allowed {self.job.minimum_version}")
+            raise VersionTooOldError(
+                f"weight version {version} is below the minimum {self.job.minimum_version}"
+            )
         if version in self.versions:
             return
         if self.versions and self.route.single_version:
-            raise VersionMixedError(f"version {version} after {self.versions[-1]}")
+            raise VersionMixedError(f"weight version {version} after {self.versions[-1]}")
         self.versions.append(version)
 
     def restart(self) -> None:
-        """Forget the text; the next attempt begins anew."""
+        """Discard the text, so that the next attempt starts it over."""
         self.pieces.clear()
         self.versions.clear()
         self.last_event_id = None
-        self.events = self.kept_events = self.kept_pieces = 0
+        self.events = self.checkpointed_events = self.checkpointed_pieces = 0
 
-    def take_part(self) -> TextPart | None:
-        """Return the events made since the last part was taken; by the attempt in hand."""
-        count = self.events - self.kept_events
+    def take_checkpoint(self) -> TextCheckpoint | None:
+        """Return a checkpoint of the events since the last one; for the running attempt only."""
+        count = self.events - self.checkpointed_events
         if count <= 0:
             return None
-        text = "\n".join(self.pieces[self.kept_pieces :])
-        part = TextPart(
+        text = "\n".join(self.pieces[self.checkpointed_pieces :])
+        checkpoint = TextCheckpoint(
             self.item.id,
-            self.kept_events,
+            self.checkpointed_events,
             count,
             self.last_event_id,
             compress_text(text),
             tuple(self.versions),
         )
-        self.kept_events = self.events
-        self.kept_pieces = len(self.pieces)
-        return part
+        self.checkpointed_events = self.events
+        self.checkpointed_pieces = len(self.pieces)
+        return checkpoint
 
-    def go_on_from(self, parts: Sequence[TextPart]) -> bool:
-        """Take over what another leader had kept; False where that doesn't fit the job."""
-        versions = parts[-1].versions if parts else ()
+    def resume_from(self, checkpoints: Sequence[TextCheckpoint]) -> bool:
+        """Resume from another leader's checkpoints; False if their versions don't fit the job."""
+        versions = checkpoints[-1].versions if checkpoints else ()
         is_fresh = bool(versions) and min(versions) >= self.job.minimum_version
         if not is_fresh or (self.route.single_version and len(versions) > 1):
             return False
-        self.pieces = [decompress_text(part.packed) for part in parts]
+        self.pieces = [decompress_text(each.compressed) for each in checkpoints]
         self.versions = list(versions)
-        self.last_event_id = parts[-1].last_event_id
-        self.events = self.kept_events = sum(part.events for part in parts)
-        self.kept_pieces = len(self.pieces)
+        self.last_event_id = checkpoints[-1].last_event_id
+        self.events = self.checkpointed_events = sum(each.events for each in checkpoints)
+        self.checkpointed_pieces = len(self.pieces)
         return True
 
-    def text_is_whole(self) -> None:
-        """Note that the last event has come."""
-        self.stage = Stage.SCORE if self.item.scorer is not None else Stage.RESULT
+    def complete_generation(self) -> None:
+        """Enter the next stage after the last event."""
+        self.stage = Stage.SCORING if self.item.scorer is not None else Stage.RESULT
         if self.stage is Stage.RESULT:
             self.finish("")
 
     def finish(self, score: str) -> None:
-        """The result is whole; of its text only what no kept part has is sent."""
+        """Set the complete result; its text starts after the last checkpoint."""
         self.stage = Stage.RESULT
         self.score = score
-        if self.kept_events == 0:
-            self.result = self.whole_result()
+        if self.checkpointed_events == 0:
+            self.result = self.full_result()
             return
-        tail = self.pieces[self.kept_pieces :]
+        tail = self.pieces[self.checkpointed_pieces :]
         self.result = ItemResult(
             self.item.id,
             True,
             versions=tuple(sorted(self.versions)),
             score=score,
-            packed=compress_text("\n".join(tail)) if tail else b"",
+            compressed=compress_text("\n".join(tail)) if tail else b"",
             length=len("\n".join(self.pieces)),
-            behind=self.kept_events,
+            checkpointed_events=self.checkpointed_events,
         )
 
-    def whole_result(self) -> ItemResult:
-        """The result with its whole text, for a log that lacks the kept parts."""
+    def full_result(self) -> ItemResult:
+        """Return the result with its full text, for a log that lacks the checkpoints."""
         text = "\n".join(self.pieces)
         versions = tuple(sorted(self.versions))
-        return ItemResult.made(self.item.id, True, text, versions, self.score)
+        return ItemResult.from_text(self.item.id, True, text, versions, self.score)
 
     def give_up(self) -> None:
-        """The item can't be done."""
+        """Set the result of an item that failed for good."""
         self.stage = Stage.RESULT
         text = "\n".join(self.pieces)
-        self.result = ItemResult.made(self.item.id, False, text, tuple(sorted(self.versions)))
+        self.result = ItemResult.from_text(self.item.id, False, text, tuple(sorted(self.versions)))
--- a/src/bellweir/hosted/batches/service.py
+++ b/src/bellweir/hosted/batches/service.py
@@ -1,8 +1,8 @@
-"""Service `batches`: coordinates batch jobs on store machines."""
+"""Service `batches`: runs batch jobs on the nodes that store them."""
 
 import threading
 
-from bellweir.hosted.batches.attempts import ItemAttempts
+from bellweir.hosted.batches.attempts import ItemRunner
 from bellweir.hosted.batches.coordinator import Coordinator
 from bellweir.hosted.batches.retention import JobRetention
 from bellweir.hosted.batches.state import JOBS_KEY, BatchJobs, JobState
@@ -21,11 +21,11 @@
 from bellweir.ledger.service import LedgerService
 from bellweir.wire.interface import Transport
 
-TIDY_PERIOD_S = 2.0
+CLEANUP_INTERVAL_S = 2.0
 
 
 class BatchService(Service, LoadListener):
-    """Runs the coordinator and its committer."""
+    """Runs the coordinator, its committer and the retention of ended jobs."""
 
     name = names.BATCHES
     dependencies = (names.VIEWS, names.LEDGER, names.TELEMETRY, names.TRANSPORT)
@@ -37,13 +37,13 @@
         self._loads = WorkerLoads(settings.node.zone, self._connections.has_idle)
 
     def start(self) -> None:
-        """Start the tasks; they act only while this node leads."""
+        """Start the tasks; scheduling and commits happen only while this node leads."""
         registry = self._kernel.registry
         self._views = registry.find(names.VIEWS, ViewsService)
         self._views.workers.subscribe_address_changes(self._connections.renew)
         ledger = registry.find(names.LEDGER, LedgerService)
         ledger.register(BatchJobs)
-        self._attempts = ItemAttempts(self._connections, self._loads)
+        self._attempts = ItemRunner(self._connections, self._loads)
         coordinator = Coordinator(
             ledger,
             self._views.configuration,
@@ -62,7 +62,7 @@
         self._kernel.executors.run_task("batch-coordinator", coordinator.run)
         self._kernel.executors.run_task("batch-committer", coordinator.committer.run)
         self._kernel.executors.run_task("batch-retention", retention.run)
-        self._kernel.executors.run_task("batch-tidy", self._tidy)
+        self._kernel.executors.run_task("batch-tidy", self._clean_up)
 
     def _add_gauges(
         self, metrics: RequestMetrics, ledger: LedgerService, coordinator: Coordinator
@@ -89,7 +89,7 @@
         metrics.add_gauge(
             "bellweir_workers_left_alone",
             "On the jobs' leader: workers that load weights or refused a model's runs just now.",
-            lambda: float(self._attempts.refusals.paused_worker_count()),
+            lambda: float(self._attempts.refusal_backoff.paused_worker_count()),
         )
         metrics.add_gauge(
             "bellweir_ledger_leads",
@@ -103,18 +103,18 @@
         )
 
     def on_load_update(self, worker: Incarnation, model: str, for_s: float) -> None:
-        """Leave a worker alone while it loads a model's weights."""
-        self._attempts.refusals.on_load_update(worker, model, for_s)
+        """Send a worker no generations of a model while it loads the weights."""
+        self._attempts.refusal_backoff.on_load_update(worker, model, for_s)
 
     def stop(self) -> None:
         """The tasks end with the executors."""
 
-    def _tidy(self, stopping: threading.Event) -> None:
-        while not stopping.wait(TIDY_PERIOD_S):
+    def _clean_up(self, stopping: threading.Event) -> None:
+        while not stopping.wait(CLEANUP_INTERVAL_S):
             workers = self._views.workers.all()
             incarnations = {worker.incarnation for worker in workers}
-            self._loads.forget_others(incarnations)
-            self._attempts.refusals.retain(incarnations)
-            self._attempts.failing.retain(incarnations)
-            self._attempts.paces.retain(incarnations)
-            self._connections.forget_others({worker.address for worker in workers})
+            self._loads.retain(incarnations)
+            self._attempts.refusal_backoff.retain(incarnations)
+            self._attempts.quarantine.retain(incarnations)
+            self._attempts.event_times.retain(incarnations)
+            self._connections.retain({worker.address for worker in workers})
