--- a/features/steps/hosted_batches_steps.py
+++ b/features/steps/hosted_batches_steps.py
@@ -265,7 +265,7 @@
 @given_step("a worker that refuses all runs for a second, which is told of")
 def given_told_load(context):
     worker = context.leader.models[0]
-    told = context.leader.coordinator._attempts.refusals.on_load_update
+    told = context.leader.coordinator._attempts.refusals.on_weight_load_update
     # Told of for longer than it lasts, so that only the word of its end brings the runs.
     told(worker.incarnation, MODEL, 4.0)
     worker.refuse_for(1.0)
@@ -300,11 +300,11 @@
             if what == "pass":
                 now_s += seconds
             elif what == "load":
-                guard.on_load_update(worker, "m", seconds)
+                guard.on_weight_load_update(worker, "m", seconds)
                 closed_until_s = max(closed_until_s, now_s + min(seconds, LONGEST_LOAD_S))
                 is_open = False
             elif what == "load_ended":
-                guard.on_load_update(worker, "m", 0.0)
+                guard.on_weight_load_update(worker, "m", 0.0)
                 closed_until_s, is_open = 0.0, True
             else:
                 guard.refused(worker, "m")
--- a/features/steps/hosted_entries_steps.py
+++ b/features/steps/hosted_entries_steps.py
@@ -555,14 +555,14 @@
     def separate(seed, specs):
         machines = Machines(3, seed)
         for spec in specs:
-            for _ in range(machines.chance.randrange(5, 90)):
-                machines.turn()
+            for _ in range(machines.rng.randrange(5, 90)):
+                machines.step()
             machines.store.records.put("bellweir-leases", "duty", spec)
             acted["garbled"] += 1
         for _ in range(200):
-            machines.turn()
+            machines.step()
         machines.check()
-        holders = [number for _, _, number, _ in machines.acts]
+        holders = [number for _, _, number, _ in machines.operations]
         assert holders, "nobody acts any more"
         acted["handovers"] += sum(a != b for a, b in pairwise(holders))
 
--- a/features/steps/hosted_lease_steps.py
+++ b/features/steps/hosted_lease_steps.py
@@ -1,4 +1,4 @@
-"""The lease against an oracle: simulated time, a store in memory that loses answers."""
+"""Model tests of the lease with simulated time and an in-memory store that loses answers."""
 
 import random
 from itertools import pairwise
@@ -9,20 +9,20 @@
 from returns.result import Failure, Success
 
 from bellweir.hosted.interface import RecordStore, StoredRecord, StoreError, StoreErrorKind
-from bellweir.hosted.weights.lease import LOOK_PAUSE_S, Lease, LeasePhase
+from bellweir.hosted.weights.lease import POLL_INTERVAL_S, Lease, LeasePhase
 from bellweir_rehearsal.hosted.records import ObjectRecords, WriteRefusal
 
 LEASE_S = 5.0
 SEPARATION_S = 3.0
-ACT_S = 0.5
-"""Longest time that an act takes."""
+OPERATION_S = 0.5
+"""Longest duration of an operation."""
 
 
 class MemoryStore(RecordStore):
-    """The stand-in's records without HTTP."""
+    """The records of the store stand-in without HTTP."""
 
-    def __init__(self, records, chance):
-        self.records, self.chance = records, chance
+    def __init__(self, records, rng):
+        self.records, self.rng = records, rng
         self.lost_share = 0.0
         self.late_share = 0.0
         self.down = False
@@ -44,15 +44,15 @@
 
     def _write(self, kind, write):
         if self.down:
-            # Its condition may still hold when it is done later.
-            if self.chance.random() < 0.3:
+            # The write may be executed later if its condition still holds.
+            if self.rng.random() < 0.3:
                 self.late.append(write)
             return Failure(StoreError(StoreErrorKind.UNKNOWN, "down"))
-        if self.chance.random() < self.late_share:
+        if self.rng.random() < self.late_share:
             self.late.append(write)
             return Failure(StoreError(StoreErrorKind.UNKNOWN, "connection reset"))
         made = write()
-        if self.chance.random() < self.lost_share:
+        if self.rng.random() < self.lost_share:
             return Failure(StoreError(StoreErrorKind.UNKNOWN, "answer lost"))
         if isinstance(made, WriteRefusal):
             missing = made is WriteRefusal.MISSING
@@ -62,10 +62,10 @@
 
     def end_outage(self):
         self.down = False
-        self.do_late()
+        self.execute_late()
 
-    def do_late(self):
-        """Do the writes that are late; each one only if its condition still holds."""
+    def execute_late(self):
+        """Execute the delayed writes, each one only if its condition still holds."""
         late, self.late = self.late, []
         for write in late:
             write()
@@ -91,69 +91,73 @@
 
 
 class Machines:
-    """Machines with a lease each; every one acts whenever it believes that it may."""
+    """Nodes that compete for a lease and operate whenever their own one allows it."""
 
     def __init__(self, count, seed):
-        self.chance = random.Random(seed)
-        self.store = MemoryStore(ObjectRecords(), self.chance)
+        self.rng = random.Random(seed)
+        self.store = MemoryStore(ObjectRecords(), self.rng)
         self.now_s = 100.0
-        self.offsets = [self.chance.uniform(0, 1e6) for _ in range(count)]
+        self.offsets = [self.rng.uniform(0, 1e6) for _ in range(count)]
         self.paused_until_s = [0.0] * count
-        self.news = []
-        """What holders told: time of arrival, number of the hearer, its call and the words."""
-        self.leases = [self.make(number) for number in range(count)]
-        self.acts = []
+        self.messages = []
+        """Messages in transit: time of arrival, number of the receiver, method and arguments."""
+        self.leases = [self.make_lease(number) for number in range(count)]
+        self.operations = []
 
-    def make(self, number):
+    def make_lease(self, number):
         def clock():
             return self.now_s + self.offsets[number]
 
         lease = Lease(self.store, "duty", f"node-{number}", LEASE_S, SEPARATION_S, clock)
-        lease.tell = lambda revision, holder: self.told(number, "hear", revision, holder)
-        lease.tell_hand_over = lambda revision, idle_s: self.told(
-            number, "hear_hand_over", revision, idle_s
+        lease.announce = lambda revision, holder: self.broadcast(
+            number, "note_renewal", revision, holder
+        )
+        lease.announce_hand_over = lambda revision, idle_s: self.broadcast(
+            number, "note_hand_over", revision, idle_s
         )
         return lease
 
-    def told(self, teller, call, *words):
-        """A message to each other machine; some are lost, some late."""
+    def broadcast(self, teller, call, *arguments):
+        """Send a message to each other node; some are lost, some delayed."""
         for number in range(len(self.offsets)):
-            if number != teller and self.chance.random() < 0.8:
-                late_s = self.chance.choice((0.0, 0.01, 0.01, 2.0))
-                self.news.append((self.now_s + late_s, number, call, words))
-
-    def hear(self):
-        arrived = [one for one in self.news if one[0] <= self.now_s]
-        self.news = [one for one in self.news if one[0] > self.now_s]
-        for _, number, call, words in arrived:
+            if number != teller and self.rng.random() < 0.8:
+                late_s = self.rng.choice((0.0, 0.01, 0.01, 2.0))
+                self.messages.append((self.now_s + late_s, number, call, arguments))
+
+    def deliver_messages(self):
+        arrived = [one for one in self.messages if one[0] <= self.now_s]
+        self.messages = [one for one in self.messages if one[0] > self.now_s]
+        for _, number, call, arguments in arrived:
             if self.now_s >= self.paused_until_s[number]:
-                getattr(self.leases[number], call)(*words)
+                getattr(self.leases[number], call)(*arguments)
 
-    def turn(self):
+    def step(self):
         self.now_s += 0.1
-        self.hear()
-        if self.store.late_share and self.chance.random() < 0.1:
-            self.store.do_late()
+        self.deliver_messages()
+        if self.store.late_share and self.rng.random() < 0.1:
+            self.store.execute_late()
         for number, lease in enumerate(self.leases):
             if self.now_s < self.paused_until_s[number]:
                 continue
-            if self.chance.random() < 0.5:
+            if self.rng.random() < 0.5:
                 lease.step()
-            if lease.refused_since_s() is not None and self.chance.random() < 0.2:
+            if lease.failing_since_s() is not None and self.rng.random() < 0.2:
                 lease.hand_over()
-            # Not at every chance, so that some leases are given back long after the last act.
-            lasts_s = self.chance.uniform(0.0, ACT_S)
-            fence = lease.begin_operation(ACT_S) if self.chance.random() < 0.3 else 0
-            if fence:
-                self.acts.append((self.now_s, self.now_s + lasts_s, number, fence))
+            # Not in every step, so that some leases are released long after the last operation.
+            lasts_s = self.rng.uniform(0.0, OPERATION_S)
+            fencing_token = lease.begin_operation(OPERATION_S) if self.rng.random() < 0.3 else 0
+            if fencing_token:
+                self.operations.append((self.now_s, self.now_s + lasts_s, number, fencing_token))
 
     def check(self):
-        for (_, before_s, before, before_fence), (now_s, _, now, fence) in pairwise(self.acts):
-            assert fence >= before_fence, "a lower fence after a higher one"
+        for (_, before_s, before, before_fence), (now_s, _, now, fencing_token) in pairwise(
+            self.operations
+        ):
+            assert fencing_token >= before_fence, "a lower fence after a higher one"
             if before != now:
-                # An act may take effect at any time until its end.
+                # An operation may take effect at any time until its end.
                 assert now_s - before_s >= SEPARATION_S, "two holders acted within the time"
-                assert fence > before_fence, "two holders with one fence"
+                assert fencing_token > before_fence, "two holders with one fence"
 
 
 EVENTS = ("quiet", "lossy", "late", "down", "pause", "restart", "release", "aside", "handover")
@@ -172,27 +176,27 @@
     def separate(seed, count, events):
         machines = Machines(count, seed)
         for event in events:
-            target = machines.chance.randrange(count)
+            target = machines.rng.randrange(count)
             machines.store.lost_share = 0.4 if event == "lossy" else 0.0
             machines.store.late_share = 0.6 if event == "late" else 0.0
             if event == "down":
                 machines.store.down = True
             elif event == "pause":
-                pause_s = machines.chance.uniform(0.5, 14.0)
+                pause_s = machines.rng.uniform(0.5, 14.0)
                 machines.paused_until_s[target] = machines.now_s + pause_s
             elif event == "restart":
-                machines.leases[target] = machines.make(target)
+                machines.leases[target] = machines.make_lease(target)
             elif event == "release":
                 machines.leases[target].release()
             elif event == "handover":
                 machines.leases[target].hand_over()
             elif event == "aside":
-                machines.leases[target].step_aside(machines.chance.uniform(0.1, 9.0))
-            for _ in range(machines.chance.randrange(5, 90)):
-                machines.turn()
+                machines.leases[target].step_aside(machines.rng.uniform(0.1, 9.0))
+            for _ in range(machines.rng.randrange(5, 90)):
+                machines.step()
             machines.store.end_outage()
         machines.check()
-        holders = [number for _, _, number, _ in machines.acts]
+        holders = [number for _, _, number, _ in machines.operations]
         acted["handovers"] += sum(a != b for a, b in pairwise(holders))
 
     separate()
@@ -203,13 +207,13 @@
 def then_restarted(context):
     machines = Machines(1, 1)
     machines.leases[0].step()
-    first = machines.leases[0].fence
+    first = machines.leases[0].fencing_token
     assert machines.leases[0].remaining_s() > 0.0
-    machines.leases[0] = machines.make(0)
+    machines.leases[0] = machines.make_lease(0)
     machines.now_s += 0.1
     machines.leases[0].step()
     assert machines.leases[0].phase is LeasePhase.HOLDING
-    assert machines.leases[0].fence > first
+    assert machines.leases[0].fencing_token > first
 
 
 @then("a successor of a planned stop acts after the agreed time only")
@@ -233,8 +237,8 @@
         machines = Machines(2, seed)
         holder, other = machines.leases
         holder.step()
-        due_s = [machines.now_s, machines.now_s + machines.chance.uniform(0.0, 2.5)]
-        lost_s = machines.now_s + 10.0 + machines.chance.uniform(0.0, 2.5)
+        due_s = [machines.now_s, machines.now_s + machines.rng.uniform(0.0, 2.5)]
+        lost_s = machines.now_s + 10.0 + machines.rng.uniform(0.0, 2.5)
         taken_s = None
         while taken_s is None and machines.now_s < lost_s + 20.0:
             machines.now_s += 0.05
@@ -243,12 +247,12 @@
                 if machines.now_s >= due_s[number] and not is_lost:
                     lease.step()
                     due_s[number] = machines.now_s + lease.pause_s()
-            if other.fence:
+            if other.fencing_token:
                 taken_s = machines.now_s
         assert taken_s is not None, "nobody took it"
-        # Seen unchanged for the lease time, beginning at a look up to one pause after the renewal.
-        assert taken_s - lost_s <= LEASE_S + LOOK_PAUSE_S + 1.0, (seed, taken_s - lost_s)
-        assert other.fence > holder.fence
+        # Unchanged for the lease time, counted from a read up to one interval after the renewal.
+        assert taken_s - lost_s <= LEASE_S + POLL_INTERVAL_S + 1.0, (seed, taken_s - lost_s)
+        assert other.fencing_token > holder.fencing_token
 
 
 @then("another node acts within a second of the store's return")
@@ -257,22 +261,22 @@
         machines = Machines(3, seed)
         machines.leases[0].step()
         due_s = [machines.now_s] * 3
-        lost_s = machines.now_s + 8.0 + machines.chance.uniform(0.0, 2.5)
+        lost_s = machines.now_s + 8.0 + machines.rng.uniform(0.0, 2.5)
         back_s = lost_s + 6.5
 
         def until(end_s, machines=machines, due_s=due_s, lost_s=lost_s):
             while machines.now_s < end_s:
                 machines.now_s += 0.05
-                machines.hear()
+                machines.deliver_messages()
                 for number, lease in enumerate(machines.leases):
                     is_lost = number == 0 and machines.now_s >= lost_s
                     if machines.now_s >= due_s[number] and not is_lost:
                         lease.step()
                         due_s[number] = machines.now_s + lease.pause_s()
 
-        # Every message arrives, at once.
-        machines.chance.random = lambda: 0.0
-        machines.chance.choice = lambda options: options[0]
+        # Every message arrives at once.
+        machines.rng.random = lambda: 0.0
+        machines.rng.choice = lambda options: options[0]
         until(lost_s)
         machines.store.down = True
         until(back_s)
@@ -301,7 +305,7 @@
         assert second.begin_operation(0.0)
         first.step()
         assert not first.is_held, "one that stands aside took the lease"
-        first, second = second, machines.make(0)
+        first, second = second, machines.make_lease(0)
 
 
 @then("another node acts within {seconds:g} s of a hand-over, {sooner:g} s sooner than without")
@@ -309,20 +313,20 @@
     taken = {}
     for hands_over in (True, False):
         machines = Machines(3, 1)
-        machines.chance.random = lambda: 0.0
-        machines.chance.choice = lambda options: options[0]
+        machines.rng.random = lambda: 0.0
+        machines.rng.choice = lambda options: options[0]
         holder, *others = machines.leases
         holder.step()
         assert holder.begin_operation(0.0)
         machines.now_s += 2.0
-        machines.hear()
+        machines.deliver_messages()
         given_up_s = machines.now_s
         if hands_over:
             holder.hand_over()
             assert not holder.begin_operation(0.0)
         while not any(one.begin_operation(0.0) for one in others):
             machines.now_s += 0.05
-            machines.hear()
+            machines.deliver_messages()
             for lease in others:
                 lease.step()
             assert machines.now_s < given_up_s + 30.0, "nobody acts"
@@ -339,11 +343,11 @@
     machines.now_s += 2.0
     write = store.replace
 
-    def slow_write(*words):
+    def slow_write(*arguments):
         machines.now_s += 1.0
-        assert holder.refused_since_s() is not None
+        assert holder.failing_since_s() is not None
         holder.hand_over()
-        return write(*words)
+        return write(*arguments)
 
     store.replace = slow_write
     holder.step()
@@ -357,22 +361,22 @@
     machines = Machines(2, 1)
     holder, other = machines.leases
     holder.step()
-    revision = holder.fence
+    revision = holder.fencing_token
     holder.hand_over()
-    machines.leases[0] = machines.make(0)
+    machines.leases[0] = machines.make_lease(0)
     machines.leases[0].step()
     assert machines.leases[0].begin_operation(0.0)
-    other.hear_hand_over(revision, 60.0)
+    other.note_hand_over(revision, 60.0)
     machines.now_s += 1.0
     other.step()
     assert not other.is_held
 
 
 class LateStore(MemoryStore):
-    """The next replacement loses its connection at once and is done when the test says."""
+    """A store whose next replacement fails at once and is executed on request of the test."""
 
-    def __init__(self, records, chance):
-        super().__init__(records, chance)
+    def __init__(self, records, rng):
+        super().__init__(records, rng)
         self.is_next_late = False
 
     def replace(self, kind, name, spec, revision):
@@ -383,18 +387,9 @@
         return Failure(StoreError(StoreErrorKind.UNKNOWN, "connection reset"))
 
 
-# Symptom: a lease was handed over 2.1 s after it was taken, and nobody took it in 3 s of calm.
-# Sequence: the first renewal, 1.5 s after the lease was taken, lost its connection; the object read
-# back was unchanged. The store did the renewal later. Then the holder handed over the revision that
-# it knew, and the others found a newer one under its name: to them a lease that was just renewed,
-# to be watched for its whole time of 5.3 s.
-# Cause: a hand-over named one revision of the object only, though the renewal under way makes
-# another one of the same lease.
-# Settled by `Lease.hand_over`, which told `record.revision`, by `Lease._consider`, which replaced
-# what it had heard as soon as `seen.revision != record.revision`, and by `CALL_TIMEOUT_S` of
-# `platform/object_store.py`: a write may be done 1.5 s after it was sent, and a holder hands over
-# 0.75 s after its first one that failed.
-LATE_MOMENTS = ("before the hand-over", "before it is heard", "after it is heard", "never")
+# The store may execute a renewal after the holder has handed over the revision before it. The other
+# candidates must then still acquire the lease at once.
+EXECUTION_TIMES = ("before the hand-over", "before it is heard", "after it is heard", "never")
 
 
 @then(
@@ -403,7 +398,7 @@
 )
 def then_late_renewal_followed(context, seconds):
     context.gaps_s = {}
-    for moment in LATE_MOMENTS:
+    for moment in EXECUTION_TIMES:
         for seed in range(5):
             taken_s, context.gaps_s[moment, seed] = _hand_over_beside(moment, seed)
             assert taken_s <= seconds, (moment, seed, taken_s)
@@ -416,42 +411,44 @@
 
 
 def _hand_over_beside(moment, seed):
-    """Hand over with a renewal whose outcome is unknown; return how long after it another node
-    has the lease, and the time between the last act before and the first one after it.
+    """Hand over while the outcome of a renewal is unknown.
+
+    Return the time until another node has the lease, and the time between the last operation before
+    and the first one after the hand-over.
     """
     machines = Machines(3, seed)
-    machines.store = LateStore(machines.store.records, machines.chance)
-    machines.leases = [machines.make(number) for number in range(3)]
-    machines.chance.random = lambda: 0.0
-    machines.chance.choice = lambda options: options[1]
+    machines.store = LateStore(machines.store.records, machines.rng)
+    machines.leases = [machines.make_lease(number) for number in range(3)]
+    machines.rng.random = lambda: 0.0
+    machines.rng.choice = lambda options: options[1]
     holder, *others = machines.leases
-    # One that gives it back long after its last act, so that the next one acts at once.
+    # Released long after the last operation, so that the next holder need not wait.
     others[0].step()
     machines.now_s += 4.0
     others[0].release()
     machines.now_s += 0.05
-    machines.hear()
+    machines.deliver_messages()
     holder.step()
 
     def go_on(seconds, steps):
         end_s = machines.now_s + seconds
         while machines.now_s < end_s:
             machines.now_s += 0.05
-            machines.hear()
+            machines.deliver_messages()
             for lease in steps:
                 lease.step()
 
     go_on(1.5, others)
     machines.store.is_next_late = True
     go_on(0.1, [holder, *others])
-    assert holder.begin_operation(ACT_S), "the holder lost its lease"
-    acted_until_s = machines.now_s + ACT_S
+    assert holder.begin_operation(OPERATION_S), "the holder lost its lease"
+    operation_end_s = machines.now_s + OPERATION_S
     go_on(0.6, others)
     if moment == "before the hand-over":
         machines.store.end_outage()
         go_on(0.05, others)
     go_on(0.2, others)
-    assert holder.refused_since_s() is not None
+    assert holder.failing_since_s() is not None
     holder.hand_over()
     handed_s = machines.now_s
     if moment == "before it is heard":
@@ -460,45 +457,39 @@
             lease.step()
     elif moment == "after it is heard":
         machines.now_s += 0.05
-        machines.hear()
+        machines.deliver_messages()
         machines.store.end_outage()
     while not any(lease.is_held for lease in others):
         go_on(0.05, others)
         assert machines.now_s < handed_s + 30.0, "nobody takes it"
     taken_s = machines.now_s - handed_s
-    while not any(lease.begin_operation(ACT_S) for lease in others):
+    while not any(lease.begin_operation(OPERATION_S) for lease in others):
         go_on(0.05, others)
-    return taken_s, machines.now_s - acted_until_s
+    return taken_s, machines.now_s - operation_end_s
 
 
-# Symptom: two holders acted 1.8 s apart where 3 s are agreed.
-# Sequence: a renewal got no answer in the 1.5 s that a call may take; the object read back then was
-# as the renewal had made it, and the holder counted on its lease from this look on. The others had
-# seen the object 1.5 s before and counted from there. Or: the first renewal of a lease that was
-# made, not taken, had the number of the making, so that it passed for done when it was not.
-# Cause: a renewal was known by its number, and dated by the look at it.
-# Settled by `Lease._read_back`, which extended the lease from `began_s` of its own look on, and by
-# `Lease._create`, which wrote number 1 and left the holder's own at 0.
+# A renewal without an answer must extend the lease from its start, not from the later read that
+# finds it executed, and only if it was executed.
 def _gap_after_last_act_s(machines):
-    """Have the holder renew no more; return the time between its last act and the next one's."""
+    """Stop renewing; return the time between the last operation and the successor's first."""
     holder, *others = machines.leases
     end_s = machines.now_s + 30.0
-    acted_until_s = None
-    while not any(lease.begin_operation(ACT_S) for lease in others):
-        if holder.begin_operation(ACT_S):
-            acted_until_s = machines.now_s + ACT_S
+    operation_end_s = None
+    while not any(lease.begin_operation(OPERATION_S) for lease in others):
+        if holder.begin_operation(OPERATION_S):
+            operation_end_s = machines.now_s + OPERATION_S
         machines.now_s += 0.05
         for lease in others:
             lease.step()
         assert machines.now_s < end_s, "nobody acts"
-    assert acted_until_s is not None, "the holder did not act"
-    return machines.now_s - acted_until_s
+    assert operation_end_s is not None, "the holder did not act"
+    return machines.now_s - operation_end_s
 
 
-def _untold(seed):
-    """Two machines that learn of each other by the store only, the first one with the lease."""
+def _without_messages(seed):
+    """Two nodes that exchange no messages, the first one with the lease."""
     machines = Machines(2, seed)
-    machines.chance.random = lambda: 1.0
+    machines.rng.random = lambda: 1.0
     machines.leases[0].step()
     machines.leases[1].step()
     return machines
@@ -507,12 +498,12 @@
 @then("a holder whose renewal was done, but answered too late, acts no longer than it may")
 def then_slow_renewal(context):
     for seed in range(5):
-        machines = _untold(seed)
+        machines = _without_messages(seed)
         holder, other = machines.leases
         store, write = machines.store, machines.store.replace
 
-        def slow_write(*words, machines=machines, other=other, write=write):
-            write(*words)
+        def slow_write(*arguments, machines=machines, other=other, write=write):
+            write(*arguments)
             other.step()
             machines.now_s += 1.5
             return Failure(StoreError(StoreErrorKind.UNKNOWN, "no answer"))
@@ -528,7 +519,7 @@
 @then("a holder whose first renewal was never done acts no longer than it may")
 def then_undone_renewal(context):
     for seed in range(5):
-        machines = _untold(seed)
+        machines = _without_messages(seed)
         store, write = machines.store, machines.store.replace
         machines.now_s += 1.6
         store.replace = lambda *_words: Failure(StoreError(StoreErrorKind.UNKNOWN, "not done"))
@@ -538,37 +529,31 @@
         assert gap_s >= SEPARATION_S, (seed, gap_s)
 
 
-# Symptom: a holder lost its lease to "another holder", though the object named nobody but itself.
-# Sequence: a renewal lost its connection and was done after it had been read back; the next one met
-# the changed object, whose number was the one before its own.
-# Settled by `Lease._read_back`, which knew only the newest renewal by its number.
+# A renewal that is executed after the object was read back must not look like another holder's.
 @then("a holder whose renewal was done late keeps its lease")
 def then_late_renewal_kept(context):
-    machines = _untold(1)
-    # One that took the lease, not made it.
-    holder = machines.leases[0] = machines.make(0)
+    machines = _without_messages(1)
+    # A holder that has replaced the lease object, not created it.
+    holder = machines.leases[0] = machines.make_lease(0)
     holder.step()
-    fence = holder.fence
+    fencing_token = holder.fencing_token
     machines.now_s += 1.6
     machines.store.late_share = 2.0
     holder.step()
     machines.store.late_share = 0.0
     machines.now_s += 0.5
-    machines.store.do_late()
+    machines.store.execute_late()
     machines.now_s += 0.3
     holder.step()
-    assert holder.fence == fence, "the lease was lost"
+    assert holder.fencing_token == fencing_token, "the lease was lost"
     machines.now_s += 0.1
-    assert holder.begin_operation(ACT_S), "the holder may not act"
+    assert holder.begin_operation(OPERATION_S), "the holder may not act"
     machines.now_s += 1.6
     holder.step()
-    assert holder.begin_operation(ACT_S), "the next renewal was not done"
+    assert holder.begin_operation(OPERATION_S), "the next renewal was not done"
 
 
-# Symptom: a lease that a node had taken had no acting holder for 2 s and more.
-# Sequence: the answer to its taking was lost; the node looked again as at a lease that another one
-# renews, 2.25 s later.
-# Settled by `Lease.pause_s`, which knew nothing of a taking without an answer.
+# A node whose acquisition got no answer must check its outcome soon.
 @then(
     "the one that took it knows so within {seconds:g} s, whether it was done at once, late or never"
 )
@@ -576,7 +561,7 @@
     for is_made in (False, True):
         for moment in ("at once", "late", "never"):
             machines = Machines(2, 1)
-            machines.chance.random = lambda: 1.0
+            machines.rng.random = lambda: 1.0
             first, taker = machines.leases
             if not is_made:
                 first.step()
@@ -592,7 +577,7 @@
             while not taker.is_held:
                 machines.now_s += 0.05
                 if machines.now_s >= late_s:
-                    store.do_late()
+                    store.execute_late()
                 if machines.now_s >= due_s:
                     taker.step()
                     due_s = machines.now_s + taker.pause_s()
@@ -600,22 +585,19 @@
             assert taken_s <= seconds, (is_made, moment, taken_s)
 
 
-# Symptom: after a hand-over by a holder that had not acted yet, nobody acted for twice the agreed
-# time and more.
-# Sequence: a holder waited for the agreed time after its predecessor's last act, and gave the lease
-# up meanwhile; its successor waited for the whole time again.
-# Settled by `Lease._own_idle_s`, which counted from the end of the wait, also while it went on.
+# A holder that gives up the lease while it waits must not make its successor wait for the whole
+# separation time again.
 @then("its successor waits for the rest of the agreed time only")
 def then_rest_of_wait(context):
     for waited_s in (0.0, 1.0, 3.0, 3.5):
         for hands_over in (False, True):
             machines = Machines(3, 1)
-            machines.chance.random = lambda: 0.0
-            machines.chance.choice = lambda options: options[1]
+            machines.rng.random = lambda: 0.0
+            machines.rng.choice = lambda options: options[1]
             first, second, third = machines.leases
             first.step()
-            assert first.begin_operation(ACT_S)
-            acted_until_s = machines.now_s + ACT_S
+            assert first.begin_operation(OPERATION_S)
+            operation_end_s = machines.now_s + OPERATION_S
             first.release()
             machines.now_s += 0.05
             second.step()
@@ -625,10 +607,10 @@
                 second.hand_over()
             else:
                 second.release()
-            while not third.begin_operation(ACT_S):
+            while not third.begin_operation(OPERATION_S):
                 machines.now_s += 0.05
-                machines.hear()
+                machines.deliver_messages()
                 third.step()
-            gap_s = machines.now_s - acted_until_s
+            gap_s = machines.now_s - operation_end_s
             longest_s = max(SEPARATION_S, waited_s) + 1.0
             assert SEPARATION_S <= gap_s <= longest_s, (waited_s, hands_over, gap_s)
--- a/features/steps/hosted_plan_steps.py
+++ b/features/steps/hosted_plan_steps.py
@@ -15,11 +15,11 @@
 from bellweir.hosted.views.configuration import ConfigurationView
 from bellweir.hosted.views.workers import Worker, WorkersView
 from bellweir.hosted.weights.controller import RolloutController
-from bellweir.hosted.weights.job_messages import JobNews, JobsHeard, JobTeller, NewestJob
+from bellweir.hosted.weights.job_messages import JobAnnouncer, JobNews, JobReceiver, NewestJob
 from bellweir.hosted.weights.lags import VersionLags
-from bellweir.hosted.weights.load_limit import FEWEST_AT_ONCE, LoadLimit
-from bellweir.hosted.weights.plan import ModelTarget, plan_loads, workers_wanted
+from bellweir.hosted.weights.plan import ModelTarget, plan_weight_loads, target_worker_count
 from bellweir.hosted.weights.versions import VersionsView
+from bellweir.hosted.weights.weight_load_limit import MIN_CONCURRENT, WeightLoadLimit
 from bellweir.wire.interface import Sender
 from bellweir_platform.workers import PlatformWorkers
 from bellweir_rehearsal.hosted.worker import WorkerStandIn
@@ -43,18 +43,18 @@
         loads = 0
         for version in range(2, 2 + rounds):
             targets = [ModelTarget(model, version, lag) for model in models]
-            for planned in plan_loads(targets, workers, held):
+            for planned in plan_weight_loads(targets, workers, held):
                 assert held[planned.worker.incarnation, planned.model] < version
                 held[planned.worker.incarnation, planned.model] = version
                 loads += 1
-            assert plan_loads(targets, workers, held) == [], "it never comes to rest"
+            assert plan_weight_loads(targets, workers, held) == [], "it never comes to rest"
             for target in targets:
                 fitting = sum(
-                    held[worker.incarnation, target.model] >= target.oldest_useful
+                    held[worker.incarnation, target.model] >= target.oldest_usable
                     for worker in workers
                 )
-                assert fitting >= workers_wanted(worker_count, model_count, lag)
-        wanted = workers_wanted(worker_count, model_count, lag)
+                assert fitting >= target_worker_count(worker_count, model_count, lag)
+        wanted = target_worker_count(worker_count, model_count, lag)
         most = model_count * (wanted + (rounds - 1) * math.ceil(wanted / (1 + lag)) + rounds * lag)
         assert loads <= most, f"{loads} loads, at most {most}"
 
@@ -63,9 +63,9 @@
 
 @given_step(
     "{count:d} workers that serve {models:d} models, "
-    "whose versions are named faster than {at_once:d} loads at once can follow"
+    "whose versions are named faster than {max_concurrent:d} loads at once can follow"
 )
-def given_scarce_loads(context, count, models, at_once):
+def given_scarce_loads(context, count, models, max_concurrent):
     workers = [Worker(f"i-{n}", WorkerEntry("s", f"h:{n}")) for n in range(count)]
     names = [f"m-{number}" for number in range(models)]
     held = {(worker.incarnation, model): 1 for worker in workers for model in names}
@@ -74,11 +74,11 @@
         targets = [ModelTarget(model, version, 1) for model in names]
         # Time for three waves of loads between two versions.
         for _ in range(3):
-            for planned in plan_loads(targets, workers, held)[:at_once]:
+            for planned in plan_weight_loads(targets, workers, held)[:max_concurrent]:
                 held[planned.worker.incarnation, planned.model] = planned.version
         context.fitting.append(
             [
-                sum(held[one.incarnation, target.model] >= target.oldest_useful for one in workers)
+                sum(held[one.incarnation, target.model] >= target.oldest_usable for one in workers)
                 for target in targets
             ]
         )
@@ -92,32 +92,36 @@
 
 @given_step("loads that share one source of weights, which {width:d} of {count:d} workers fill")
 def given_shared_source(context, width, count):
-    context.limit, context.count = LoadLimit(), count
+    context.limit, context.count = WeightLoadLimit(), count
 
-    def load_s(at_once, width=width):
-        return 0.9 * max(1.0, at_once / width)
+    def load_s(max_concurrent, width=width):
+        return 0.9 * max(1.0, max_concurrent / width)
 
     context.load_s = load_s
     for _ in range(60):
-        at_once = context.limit.at_once(count)
+        max_concurrent = context.limit.max_concurrent(count)
         # The first of a wave begins alone.
-        context.limit.finished(load_s(1), count)
-        for _ in range(at_once - 1):
-            context.limit.finished(load_s(at_once), count)
+        context.limit.record_duration(load_s(1), count)
+        for _ in range(max_concurrent - 1):
+            context.limit.record_duration(load_s(max_concurrent), count)
 
 
 @then("the limit falls until loads are fast again, and never below 2")
 def then_limit_falls(context):
-    at_once = context.limit.at_once(context.count)
-    assert FEWEST_AT_ONCE <= at_once < LoadLimit().at_once(context.count)
-    assert context.load_s(at_once) < 1.6 * context.load_s(1), at_once
+    max_concurrent = context.limit.max_concurrent(context.count)
+    assert MIN_CONCURRENT <= max_concurrent < WeightLoadLimit().max_concurrent(context.count)
+    assert context.load_s(max_concurrent) < 1.6 * context.load_s(1), max_concurrent
 
 
 @then("it rises to its first value once the source is wider")
 def then_limit_rises(context):
     for _ in range(60):
-        context.limit.finished(context.load_s(1), context.count)
-    assert context.limit.at_once(context.count) == LoadLimit().at_once(context.count) == 7
+        context.limit.record_duration(context.load_s(1), context.count)
+    assert (
+        context.limit.max_concurrent(context.count)
+        == WeightLoadLimit().max_concurrent(context.count)
+        == 7
+    )
 
 
 @then("the lag is the distance that the newest job allowed when it came, at most 1")
@@ -155,22 +159,22 @@
 def given_remote_holder(context):
     context.now_s = 0.0
     context.transport = RecordedTransport()
-    context.heard = JobsHeard(context.transport, lambda: context.now_s)
-    context.teller = JobTeller(context.transport, lambda: "holder:1", lambda: context.now_s)
+    context.job_receiver = JobReceiver(context.transport, lambda: context.now_s)
+    context.announcer = JobAnnouncer(context.transport, lambda: "holder:1", lambda: context.now_s)
     context.jobs = []
 
 
 @when("a trainer's job that allows the version before is accepted")
 def when_lagging_job(context):
-    context.teller.tell(context.jobs)
+    context.announcer.announce(context.jobs)
     context.jobs.append(NewestJob("job", MODEL, 4, 1.0))
-    context.teller.tell(context.jobs)
+    context.announcer.announce(context.jobs)
 
 
 @then("the holder knows that the trainer allows the version before")
 def then_heard(context):
-    assert VersionLags(lambda: context.heard.newest).lag_of(MODEL, 5) == 1
-    assert context.heard.leader_address == "leader:1"
+    assert VersionLags(lambda: context.job_receiver.newest).lag_of(MODEL, 5) == 1
+    assert context.job_receiver.leader_address == "leader:1"
 
 
 @then("it is told again once a second and with each job, and of nothing else")
@@ -178,14 +182,14 @@
     del context.transport.sent[:]
     for _ in range(100):
         context.now_s += 0.1
-        context.teller.tell(context.jobs)
+        context.announcer.announce(context.jobs)
     assert 9 <= len(context.transport.sent) <= 10, len(context.transport.sent)
     context.jobs.append(NewestJob("next", MODEL, 5, 2.0))
-    context.teller.tell(context.jobs)
+    context.announcer.announce(context.jobs)
     (_, news) = context.transport.sent[-1]
     assert [job.id for job in news.newest] == ["next"]
     context.now_s += 60.0
-    assert context.heard.leader_address is None, "a leader that was not heard for a minute"
+    assert context.job_receiver.leader_address is None, "a leader that was not heard for a minute"
 
 
 @then("a holder never goes back to an older job of a model")
@@ -199,14 +203,14 @@
     )
 
     @settings(max_examples=200)
-    @given(told=st.lists(st.lists(job, max_size=3), max_size=12))
-    def never_older(told):
+    @given(announced=st.lists(st.lists(job, max_size=3), max_size=12))
+    def never_older(announced):
         transport = RecordedTransport()
-        heard = JobsHeard(transport)
+        job_receiver = JobReceiver(transport)
         known = {}
-        for jobs in told:
-            heard.handle(Sender("leader", "leader:1"), JobNews(tuple(jobs)))
-            for each in heard.newest:
+        for jobs in announced:
+            job_receiver.handle(Sender("leader", "leader:1"), JobNews(tuple(jobs)))
+            for each in job_receiver.newest:
                 before = known.get(each.model, each)
                 rank = (each.minimum_version, each.accepted_at_s)
                 assert rank >= (before.minimum_version, before.accepted_at_s)
@@ -248,9 +252,9 @@
         PlatformWorkers(),
         VersionLags(lambda: context.jobs),
         "node-1",
-        tell_load=lambda worker, model, for_s: note_told(context, worker, model, for_s),
+        announce_weight_load=lambda worker, model, for_s: note_told(context, worker, model, for_s),
     )
-    context.told = []
+    context.announced = []
     records = tuple(
         StoredRecord("servers", worker.instance, 1, worker.entry("llm"))
         for worker in context.workers
@@ -263,18 +267,18 @@
     orders = next(
         len(one.record.orders) for one in context.workers if one.instance == worker.instance
     )
-    context.told.append((worker.instance, model, for_s > 0, orders))
+    context.announced.append((worker.instance, model, for_s > 0, orders))
 
 
 @then("of each worker it was told that it loads before its order came, and that it is done")
 def then_told(context):
     step_until_at_rest(context, lambda: not context.controller._loads)
     for worker in context.workers:
-        told = [one for one in context.told if one[0] == worker.instance]
-        assert told == [
+        announced = [one for one in context.announced if one[0] == worker.instance]
+        assert announced == [
             (worker.instance, MODEL, True, 0),
             (worker.instance, MODEL, False, 1),
-        ], told
+        ], announced
 
 
 class BusyWorkers(PlatformWorkers):
@@ -291,7 +295,7 @@
 
 @then("of no worker it stands that it loads")
 def then_nothing_stands(context):
-    newest = {worker: is_loading for worker, _, is_loading, _ in context.told}
+    newest = {worker: is_loading for worker, _, is_loading, _ in context.announced}
     assert newest, "no order was told of"
     assert not any(newest.values()), newest
 
@@ -346,7 +350,7 @@
 
 @then("no more than {most:d} of them loaded at once")
 def then_at_once(context, most):
-    assert context.most_loading <= most == LoadLimit().at_once(len(context.workers))
+    assert context.most_loading <= most == WeightLoadLimit().max_concurrent(len(context.workers))
 
 
 @when("versions {first:d} to {last:d} are named, each once the loads are done")
--- a/features/steps/hosted_relay_steps.py
+++ b/features/steps/hosted_relay_steps.py
@@ -16,7 +16,7 @@
 from bellweir.hosted.views.follower import KindFollower
 from bellweir.hosted.views.kind_state import KindState
 from bellweir.hosted.views.readers import deployment_readers, sources_of, zone_readers
-from bellweir.hosted.views.relay import SERVED_LOOK_S, ViewsNews, ViewsRelay
+from bellweir.hosted.views.relay import PROBE_INTERVAL_S, ViewsNews, ViewsRelay
 from bellweir.membership.interface import MemberState
 from bellweir.wire.interface import Sender
 from bellweir_rehearsal.hosted.object_store import PlatformStoreStandIn
@@ -330,7 +330,7 @@
     def hardly_asked():
         """Over a span of two looks; a busy machine may need several spans."""
         looks = {node.name: node.store.refused for node in away}
-        time.sleep(2 * SERVED_LOOK_S)
+        time.sleep(2 * PROBE_INTERVAL_S)
         # A look each SERVED_LOOK_S, at one kind at least, by the nodes that would read the store.
         return all(node.store.refused - looks[node.name] <= 2 * 3 for node in away)
 
@@ -353,7 +353,7 @@
         self.sent_to = set()
         followers = [KindFollower(None, kind, id, id) for kind in ("config", "servers")]
         for follower in followers:
-            follower.lost_for_s = lambda: 5.0
+            follower.unreachable_for_s = lambda: 5.0
         membership = SimpleNamespace(self_member=lambda: own, members=lambda: tuple(members))
         transport = SimpleNamespace(
             register=lambda _type, _handler: None,
--- a/features/steps/hosted_starts_steps.py
+++ b/features/steps/hosted_starts_steps.py
@@ -27,7 +27,7 @@
 from bellweir.hosted.views.configuration import ConfigurationView
 from bellweir.hosted.views.kind_state import KindState
 from bellweir.hosted.views.workers import WorkersView
-from bellweir.hosted.weights.controller import REPORT_COUNTS_S, RolloutController
+from bellweir.hosted.weights.controller import REPORT_TTL_S, RolloutController
 from bellweir.hosted.weights.lags import VersionLags
 from bellweir.hosted.weights.versions import VersionsView
 from bellweir_platform.workers import PlatformWorkers
@@ -221,7 +221,7 @@
     now[0] = 3.0
     came = StoredRecord("servers", "i-2", 3, entry_of("i-2", 5_000))
     view._lock = Amid(view._lock, lambda: view.apply_change(RecordChange(came, deleted=False)))
-    view.drop_overdue()
+    view.drop_expired()
     assert [worker.instance for worker in view.all()] == ["i-2"]
     assert set(view.specs()) == {"i-2"}
 
@@ -409,7 +409,7 @@
 @then("it is ordered to version 3 again once its report counts no more")
 def then_ordered_again(context):
     rollouts = context.rollouts
-    until_s = rollouts.now_s + REPORT_COUNTS_S + 1.0
+    until_s = rollouts.now_s + REPORT_TTL_S + 1.0
     while rollouts.now_s < until_s:
         rollouts.step()
     assert rollouts.world.workers["i-1"].version == 3
--- a/features/steps/hosted_views_steps.py
+++ b/features/steps/hosted_views_steps.py
@@ -13,7 +13,7 @@
 from bellweir.hosted.interface import Listing, RecordChange, RecordKind, StoredRecord
 from bellweir.hosted.records import RouteKind
 from bellweir.hosted.views.configuration import ConfigurationView
-from bellweir.hosted.views.follower import RETURN_GRACE_S, SHORTEST_OUTAGE_S, KindFollower
+from bellweir.hosted.views.follower import MIN_OUTAGE_S, RECOVERY_GRACE_S, KindFollower
 from bellweir.hosted.views.peer_copy import ViewsAnswer, ViewsRequest, copy_views, register_views
 from bellweir.hosted.views.workers import WorkersView
 from bellweir_platform.object_store import PlatformStore
@@ -49,7 +49,7 @@
             RecordKind.WORKERS,
             workers.apply_listing,
             workers.apply_change,
-            on_return=workers.keep_lapsed_until,
+            on_recovery=workers.keep_lapsed_until,
         ),
     ]
     stopping = threading.Event()
@@ -274,8 +274,8 @@
 def when_lapsed(context, first, second):
     context.store.begin_outage(Outage.REFUSES)
     follower = context.process.followers[1]
-    context.wait_until(lambda: follower._lost_since_s is not None, "the outage to be noted")
-    time.sleep(SHORTEST_OUTAGE_S + 0.2)
+    context.wait_until(lambda: follower._unreachable_since_s is not None, "the outage to be noted")
+    time.sleep(MIN_OUTAGE_S + 0.2)
     for instance in (first, second):
         context.store.records.delete("servers", instance)
     context.before = context.store.records.revision
@@ -330,7 +330,7 @@
             if what == "wait":
                 now[0] += 0.7
             elif what == "return":
-                grace_until = now[0] + RETURN_GRACE_S
+                grace_until = now[0] + RECOVERY_GRACE_S
                 view.keep_lapsed_until(grace_until)
             elif what == "lapse" and name in listed:
                 is_kept = listed.pop(name) == "ready" and now[0] < grace_until
--- a/features/support/relay_zone.py
+++ b/features/support/relay_zone.py
@@ -7,14 +7,14 @@
 
 from bellweir.hosted.interface import RecordKind, RecordStore, StoreError, StoreErrorKind
 from bellweir.hosted.views.configuration import ConfigurationView
-from bellweir.hosted.views.follower import FRESH_S, KindFollower
+from bellweir.hosted.views.follower import MAX_RELAY_AGE_S, KindFollower
 from bellweir.hosted.views.readers import deployment_readers
 from bellweir.hosted.views.relay import ViewsRelay
 from bellweir.hosted.views.workers import WorkersView
 from bellweir.membership.interface import Member, MemberState
 from bellweir_platform.object_store import PlatformStore
 
-CHECK_PERIOD_S = 0.2
+CHECK_INTERVAL_S = 0.2
 NOT_DONE = Failure(StoreError(StoreErrorKind.NOT_DONE, "cut off"))
 
 
@@ -83,12 +83,16 @@
         membership.start()
         self.relay = ViewsRelay(self.transport, membership, self.followers, seeds)
         self.stopping = threading.Event()
-        for task in (*(one.run for one in self.followers), self.relay.tell, self.relay.subscribe):
+        for task in (
+            *(one.run for one in self.followers),
+            self.relay.publish,
+            self.relay.subscribe,
+        ):
             threading.Thread(target=task, args=(self.stopping,), daemon=True).start()
         threading.Thread(target=self._check, daemon=True).start()
 
     def _check(self):
-        while not self.stopping.wait(CHECK_PERIOD_S):
+        while not self.stopping.wait(CHECK_INTERVAL_S):
             for follower in self.followers:
                 follower.check()
 
@@ -102,7 +106,7 @@
         self.store.is_cut = False
 
     def is_fresh(self):
-        return all(one.age_s() < FRESH_S for one in self.followers)
+        return all(one.age_s() < MAX_RELAY_AGE_S for one in self.followers)
 
     def version(self):
         table = self.configuration.table()
--- a/src/bellweir/hosted/batches/refusals.py
+++ b/src/bellweir/hosted/batches/refusals.py
@@ -23,7 +23,7 @@
 from collections.abc import Callable
 
 from bellweir.hosted.incarnation import Incarnation
-from bellweir.hosted.weights.load_messages import LoadListener
+from bellweir.hosted.weights.weight_load_messages import WeightLoadListener
 
 PAUSE_S = 0.12
 """Time after a refusal before the worker is tried again."""
@@ -40,7 +40,7 @@
         self.is_tried = False
 
 
-class RefusalGuard(LoadListener):
+class RefusalGuard(WeightLoadListener):
     """What refused lately, by worker and model. Safe for threads.
 
     Every run that `begun` was called for ends with one of `accepted`, `refused` and `ended`.
@@ -80,7 +80,7 @@
         with self._lock:
             self._leave_alone(worker, model, PAUSE_S)
 
-    def on_load_update(self, worker: Incarnation, model: str, for_s: float) -> None:
+    def on_weight_load_update(self, worker: Incarnation, model: str, for_s: float) -> None:
         """Leave a worker alone while it loads; 0: it may get as many runs as it has room for."""
         with self._lock:
             if for_s > 0:
--- a/src/bellweir/hosted/batches/service.py
+++ b/src/bellweir/hosted/batches/service.py
@@ -14,7 +14,10 @@
 from bellweir.hosted.serving.selection import WorkerLoads
 from bellweir.hosted.settings import HostedSettings
 from bellweir.hosted.views.service import ViewsService
-from bellweir.hosted.weights.load_messages import LoadListener, register_load_listener
+from bellweir.hosted.weights.weight_load_messages import (
+    WeightLoadListener,
+    register_weight_load_listener,
+)
 from bellweir.kernel import names
 from bellweir.kernel.node import Kernel
 from bellweir.kernel.service import Service
@@ -24,7 +27,7 @@
 TIDY_PERIOD_S = 2.0
 
 
-class BatchService(Service, LoadListener):
+class BatchService(Service, WeightLoadListener):
     """Runs the coordinator and its committer."""
 
     name = names.BATCHES
@@ -54,7 +57,7 @@
             self._settings.batches,
         )
         transport = registry.find(names.TRANSPORT, Transport)  # type: ignore[type-abstract]
-        register_load_listener(transport, self)
+        register_weight_load_listener(transport, self)
         retention = JobRetention(ledger, self._settings.bounds.status_s)
         self._add_gauges(
             registry.find(names.TELEMETRY, MetricsService).metrics, ledger, coordinator
@@ -102,9 +105,9 @@
             lambda: float(ledger.sound_voters(JOBS_KEY)),
         )
 
-    def on_load_update(self, worker: Incarnation, model: str, for_s: float) -> None:
+    def on_weight_load_update(self, worker: Incarnation, model: str, for_s: float) -> None:
         """Leave a worker alone while it loads a model's weights."""
-        self._attempts.refusals.on_load_update(worker, model, for_s)
+        self._attempts.refusals.on_weight_load_update(worker, model, for_s)
 
     def stop(self) -> None:
         """The tasks end with the executors."""
--- a/src/bellweir/hosted/views/__init__.py
+++ b/src/bellweir/hosted/views/__init__.py
@@ -1,1 +1,1 @@
-"""Views of the object store: the configuration in force and the live workers."""
+"""Views of the object store: the active configuration and the live workers."""
--- a/src/bellweir/hosted/views/configuration.py
+++ b/src/bellweir/hosted/views/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force in this process: only ever a newer one."""
+"""The active configuration of this process; its version never decreases."""
 
 import threading
 from collections.abc import Callable, Mapping
@@ -12,18 +12,18 @@
 from bellweir.hosted.tenants.interface import Keys, Tenant
 from bellweir.hosted.tenants.keys import DigestedKeys
 from bellweir.hosted.views.configuration_parts import (
-    Address,
+    RouteKey,
     log_part,
     read_configuration,
-    route_address,
+    route_key,
 )
 
 CONFIGURATION_NAME = "main"
-NOTHING_REFUSED = object()
+NOTHING_REJECTED = object()
 
 
 class RouteTable:
-    """Routes of one configuration, by host and longest path prefix, and its tenants' keys.
+    """Routes of one configuration by host and longest path prefix, and its tenants' keys.
 
     >>> table = RouteTable(Configuration(1, (Route("h", "/"),)), frozenset({("h", "/a/")}))
     >>> table.find("h", "/a/b"), table.is_closed("h", "/a/b"), table.is_closed("h", "/b")
@@ -31,9 +31,9 @@
     """
 
     def __init__(
-        self, configuration: Configuration, closed: frozenset[Address] = frozenset()
+        self, configuration: Configuration, closed: frozenset[RouteKey] = frozenset()
     ) -> None:
-        """`closed` are routes whose terms can't be read: nothing of theirs is sent anywhere."""
+        """`closed` are routes that cannot be decoded; their requests are not forwarded."""
         self.configuration = configuration
         self.closed = closed
         self.services: Mapping[str, ServiceEntry] = MappingProxyType(
@@ -55,16 +55,16 @@
         return self.configuration.version
 
     def find(self, host: str, path: str) -> Route | None:
-        """The route whose prefix begins the path and is longest; None where that one is closed."""
-        route = self._longest(host, path)
-        return None if route is None or route_address(route) in self.closed else route
+        """Return the route with the longest matching prefix; None without one or if closed."""
+        route = self._longest_match(host, path)
+        return None if route is None or route_key(route) in self.closed else route
 
     def is_closed(self, host: str, path: str) -> bool:
-        """Whether the route of a path is there and its terms can't be read."""
-        route = self._longest(host, path)
-        return route is not None and route_address(route) in self.closed
+        """Whether the route of a path exists but cannot be decoded."""
+        route = self._longest_match(host, path)
+        return route is not None and route_key(route) in self.closed
 
-    def _longest(self, host: str, path: str) -> Route | None:
+    def _longest_match(self, host: str, path: str) -> Route | None:
         routes = self._routes_of(host)
         return next((route for route in routes if path.startswith(route.path_prefix)), None)
 
@@ -74,7 +74,7 @@
         return any(entry is not None and entry.engine is not None for entry in entries)
 
     def has_public_jobs(self, host: str) -> bool:
-        """Whether a host has a route whose batch jobs are handed in without a key."""
+        """Whether a host has a route that accepts batch jobs without a key."""
         return any(route.takes_jobs and route.public for route in self._routes_of(host))
 
     def _routes_of(self, host: str) -> list[Route]:
@@ -84,38 +84,38 @@
 
 
 class ConfigurationView:
-    """Holds the newest configuration heard of, whoever told it."""
+    """Holds the newest configuration received from the store or a peer."""
 
     def __init__(self, entries: UnreadableEntries | None = None) -> None:
-        """`entries` counts what can't be read."""
+        """`entries` counts configurations and parts that cannot be decoded."""
         self._entries = entries if entries is not None else UnreadableEntries()
-        self._refused: object = NOTHING_REFUSED
+        self._last_rejected: object = NOTHING_REJECTED
         self._lock = threading.Lock()
         self._table: RouteTable | None = None
         self._spec: object = None
         self._listeners: list[Callable[[RouteTable], None]] = []
         self.known = threading.Event()
-        """Set once a configuration is in force."""
+        """Set once a configuration is active."""
 
     def table(self) -> RouteTable | None:
-        """Routes in force; None while no configuration is known."""
+        """Return the active routes; None while no configuration is known."""
         return self._table
 
     def spec(self) -> object:
-        """The configuration in force as it stands in the store."""
+        """Return the active configuration in the format of the store."""
         return self._spec
 
     def subscribe(self, listener: Callable[[RouteTable], None]) -> None:
-        """Call `listener` with each new table."""
+        """Call `listener` with each new route table."""
         self._listeners.append(listener)
 
     def apply_listing(self, listing: Listing) -> None:
-        """Take the store's listing."""
+        """Apply a listing of the store."""
         for record in listing.records:
             self._take_record(record)
 
     def apply_change(self, change: RecordChange) -> None:
-        """Take a change; a configuration is never taken back."""
+        """Apply a change; the deletion of a configuration is ignored."""
         if not change.deleted:
             self._take_record(change.record)
 
@@ -124,25 +124,25 @@
             self.apply(record.spec, "store")
 
     def apply(self, spec: object, source: str) -> None:
-        """Put a configuration in force if it is newer than the one known.
+        """Activate a configuration if it is newer than the known one.
 
-        One that can't be read changes nothing; of its parts see `configuration_parts`.
+        One that cannot be decoded is ignored; for single parts see `configuration_parts`.
         """
         with self._lock:
-            former = self._table.configuration if self._table is not None else None
+            previous = self._table.configuration if self._table is not None else None
             try:
-                found = read_configuration(spec, self._spec, former)
+                result = read_configuration(spec, self._spec, previous)
             except UnusableEntryError as failure:
-                self._note_refused(spec, str(failure))
+                self._record_rejected(spec, str(failure))
                 return
-            configuration = found.configuration
-            if former is not None and configuration.version <= former.version:
+            configuration = result.configuration
+            if previous is not None and configuration.version <= previous.version:
                 return
-            table = RouteTable(configuration, found.closed)
+            table = RouteTable(configuration, result.closed)
             self._table = table
             self._spec = spec
         self.known.set()
-        for part in found.unreadable:
+        for part in result.unreadable:
             log_part(configuration.version, part)
             self._entries.count(RecordKind.CONFIGURATION)
         routes = len(configuration.routes)
@@ -150,10 +150,10 @@
         for listener in self._listeners:
             listener(table)
 
-    def _note_refused(self, spec: object, cause: str) -> None:
-        """Log and count a configuration that can't be read, once however often it is told."""
-        if spec == self._refused:
+    def _record_rejected(self, spec: object, cause: str) -> None:
+        """Log and count a configuration that cannot be decoded, once for repeated reads."""
+        if spec == self._last_rejected:
             return
-        self._refused = spec
+        self._last_rejected = spec
         self._entries.count(RecordKind.CONFIGURATION)
         emit(CONFIGURATION_REFUSED, error=cause)
--- a/src/bellweir/hosted/views/configuration_parts.py
+++ b/src/bellweir/hosted/views/configuration_parts.py
@@ -1,20 +1,19 @@
-"""Reads a configuration part by part, so that one part that can't be read spoils no other.
+"""Decodes a configuration part by part, so that an invalid part does not affect the others.
 
-What stands in place of such a part must be right whatever the part was meant to say:
+The fallback for an invalid part must be safe whatever the part was meant to say:
 
-- *A route* whose host and prefix can be read keeps the terms of the former one only if everything
-  that says where and how often its requests may run reads as it did before. Otherwise it is closed:
-  its requests are answered 503. If it vanished, a shorter prefix would send them to a service that
-  was never theirs, or they would be told that there is no such route; the former terms may be the
-  ones that were to end.
-- *A service* keeps the former entry, or gets the defaults: it only tells how its workers are
+- *A route* with a valid host and prefix keeps its previous definition only if all of
+  `ROUTING_FIELDS` are unchanged. Otherwise it is closed: its requests are answered 503. Dropping it
+  would match its requests to a shorter prefix or answer them as unknown, and the previous
+  definition may be the one to be replaced.
+- *A service* keeps its previous entry or gets the defaults, which only affect how its workers are
   called.
-- *A tenant* keeps its former keys; a key is taken away only by words that can be read.
-- *Limits* keep their former values.
+- *A tenant* keeps its previous keys; only a valid part revokes a key.
+- *Limits* keep their previous values.
 
-Without a version, with a list of parts that is none, or with a part that tells not even what it is
-about, nothing of the configuration can be used. The same holds if no tenant of some can be read: a
-configuration without tenants asks for no keys.
+The whole configuration is rejected if it has no valid version, if a list of parts is not a list or
+if a part has no valid key. It is also rejected if all of its tenants are invalid, since a
+configuration without tenants requires no keys.
 """
 
 from collections.abc import Callable, Iterable
@@ -29,10 +28,10 @@
 from bellweir.hosted.log_events import CONFIGURATION_PART_UNREADABLE
 from bellweir.hosted.records import ClientLimits, Configuration, Route, ServiceEntry, TenantEntry
 
-Address = tuple[str, str]
-"""Lower-case host and path prefix: what a route is about."""
+RouteKey = tuple[str, str]
+"""Lower-case host and path prefix, which identify a route."""
 
-TERMS = (
+ROUTING_FIELDS = (
     "service",
     "backends",
     "kind",
@@ -41,184 +40,188 @@
     "singleVersion",
     "maxAttempts",
 )
-"""Fields of a route that say where, how often and for whom its requests may run."""
-LOGGED_CHARACTERS = 128
+"""Fields of a route that decide where, how often and for whom its requests may run."""
+MAX_LOGGED_CHARACTERS = 128
 FORMER = "former"
 CLOSED = "closed"
 DEFAULTS = "defaults"
 ABSENT = "absent"
-"""What may stand in place of a part that can't be read."""
+"""Fallbacks for a part that cannot be decoded."""
 
 Part = TypeVar("Part", Route, ServiceEntry, TenantEntry, ClientLimits)
 
 
 @dataclass(frozen=True, slots=True)
 class UnreadablePart:
-    """A part of a configuration that can't be read."""
+    """A part of a configuration that cannot be decoded, and its fallback."""
 
     part: str
     name: str
     cause: str
-    instead: str
+    fallback: str
 
 
 @dataclass(frozen=True, slots=True)
 class ReadConfiguration:
-    """A configuration as far as it can be read."""
+    """A decoded configuration with its closed routes and invalid parts."""
 
     configuration: Configuration
-    closed: frozenset[Address]
+    closed: frozenset[RouteKey]
     unreadable: tuple[UnreadablePart, ...]
 
 
-def route_address(route: Route) -> Address:
-    """Return what a route is about."""
+def route_key(route: Route) -> RouteKey:
+    """Return the host and prefix that identify a route."""
     return route.host.lower(), route.path_prefix
 
 
 def read_configuration(
-    spec: Any, former_spec: Any = None, former: Configuration | None = None
+    spec: Any, previous_spec: Any = None, previous: Configuration | None = None
 ) -> ReadConfiguration:
-    """Read a configuration beside the one in force. Raises `UnusableEntryError`.
+    """Decode a configuration, with fallbacks from the previous one.
+
+    Raises `UnusableEntryError` if the whole configuration has to be rejected.
 
     >>> routes = [{"host": "h", "pathPrefix": "/a/", "timeoutMs": "soon"}]
-    >>> found = read_configuration({"version": 4, "routes": routes})
-    >>> found.configuration.routes, sorted(found.closed)
+    >>> result = read_configuration({"version": 4, "routes": routes})
+    >>> result.configuration.routes, sorted(result.closed)
     ((), [('h', '/a/')])
     """
-    return _Reader(spec, former_spec, former).read()
+    return _Reader(spec, previous_spec, previous).read()
 
 
 def log_part(version: int, part: UnreadablePart) -> None:
-    """Log a part of a configuration's version that can't be read."""
+    """Log a part that cannot be decoded."""
     emit(
         CONFIGURATION_PART_UNREADABLE,
         version=version,
         part=part.part,
-        name=part.name[:LOGGED_CHARACTERS],
+        name=part.name[:MAX_LOGGED_CHARACTERS],
         cause=part.cause,
-        instead=part.instead,
+        instead=part.fallback,
     )
 
 
 class _Reader:
-    """Reads one configuration."""
-
-    def __init__(self, spec: Any, former_spec: Any, former: Configuration | None) -> None:
-        self._plain = readable_configuration(plain_values(spec))
-        if not isinstance(self._plain, dict):
-            raise UnusableEntryError("not an object")
-        self._former_routes = _plain_routes(former_spec)
-        self._former = former or Configuration(0)
-        self._closed: set[Address] = set()
+    """Decodes one configuration."""
+
+    def __init__(self, spec: Any, previous_spec: Any, previous: Configuration | None) -> None:
+        self._raw = readable_configuration(plain_values(spec))
+        if not isinstance(self._raw, dict):
+            raise UnusableEntryError("configuration is not an object")
+        self._previous_routes = _raw_routes(previous_spec)
+        self._previous = previous or Configuration(0)
+        self._closed: set[RouteKey] = set()
         self._unreadable: list[UnreadablePart] = []
 
     def read(self) -> ReadConfiguration:
-        """Read part by part; see `read_configuration`."""
-        version = _convert(self._plain.get("version"), int)
+        """Decode part by part; see `read_configuration`."""
+        version = _convert(self._raw.get("version"), int)
         routes = tuple(self._routes())
         configuration = Configuration(
             version=version,
             routes=routes,
-            services=tuple(self._named("services", ServiceEntry, self._service_instead)),
+            services=tuple(self._named("services", ServiceEntry, self._service_fallback)),
             limits=self._limits(),
             tenants=self._tenants(),
         )
         return ReadConfiguration(configuration, frozenset(self._closed), tuple(self._unreadable))
 
     def _routes(self) -> Iterable[Route]:
-        for plain in self._list("routes"):
+        for raw in self._list("routes"):
             try:
-                yield _convert(plain, Route)
+                yield _convert(raw, Route)
             except UnusableEntryError as failure:
-                address = _address_of(plain)
+                address = _key_of(raw)
                 if address is None:
-                    raise UnusableEntryError("a route without a host and a prefix") from failure
-                route = self._former_route(address, plain)
+                    raise UnusableEntryError("route without host and pathPrefix") from failure
+                route = self._previous_route(address, raw)
                 if route is not None:
                     yield route
                 else:
                     self._closed.add(address)
-                instead = CLOSED if route is None else FORMER
-                self._note("route", "".join(address), failure, instead)
+                fallback = CLOSED if route is None else FORMER
+                self._record_unreadable("route", "".join(address), failure, fallback)
 
-    def _former_route(self, address: Address, plain: dict[str, Any]) -> Route | None:
-        """The former route there, if the terms of the new one can be read and are the same."""
-        before = self._former_routes.get(address)
-        if before is None or any(before.get(term) != plain.get(term) for term in TERMS):
+    def _previous_route(self, address: RouteKey, raw: dict[str, Any]) -> Route | None:
+        """Return the previous route if the routing fields of the new one are unchanged."""
+        before = self._previous_routes.get(address)
+        if before is None or any(before.get(term) != raw.get(term) for term in ROUTING_FIELDS):
             return None
-        found = (route for route in self._former.routes if route_address(route) == address)
-        return next(found, None)
+        result = (route for route in self._previous.routes if route_key(route) == address)
+        return next(result, None)
 
     def _named(
-        self, key: str, into: type[Part], instead: Callable[[str], tuple[Part | None, str]]
+        self, key: str, into: type[Part], fallback: Callable[[str], tuple[Part | None, str]]
     ) -> Iterable[Part]:
-        """Parts that are known by their names."""
-        for plain in self._list(key):
+        """Decode parts that are identified by name."""
+        for raw in self._list(key):
             try:
-                yield _convert(plain, into)
+                yield _convert(raw, into)
             except UnusableEntryError as failure:
-                name = plain.get("name") if isinstance(plain, dict) else None
+                name = raw.get("name") if isinstance(raw, dict) else None
                 if not isinstance(name, str):
-                    raise UnusableEntryError(f"one of the {key} without a name") from failure
-                part, word = instead(name)
+                    raise UnusableEntryError(f"entry of {key} without a name") from failure
+                part, word = fallback(name)
                 if part is not None:
                     yield part
-                self._note(key, name, failure, word)
+                self._record_unreadable(key, name, failure, word)
 
-    def _service_instead(self, name: str) -> tuple[ServiceEntry, str]:
-        before = next((each for each in self._former.services if each.name == name), None)
+    def _service_fallback(self, name: str) -> tuple[ServiceEntry, str]:
+        before = next((each for each in self._previous.services if each.name == name), None)
         return (before, FORMER) if before is not None else (ServiceEntry(name), DEFAULTS)
 
-    def _tenant_instead(self, name: str) -> tuple[TenantEntry | None, str]:
-        before = next((each for each in self._former.tenants if each.name == name), None)
+    def _tenant_fallback(self, name: str) -> tuple[TenantEntry | None, str]:
+        before = next((each for each in self._previous.tenants if each.name == name), None)
         return before, FORMER if before is not None else ABSENT
 
     def _tenants(self) -> tuple[TenantEntry, ...]:
-        found = tuple(self._named("tenants", TenantEntry, self._tenant_instead))
-        if not found and self._list("tenants"):
-            raise UnusableEntryError("no tenant can be read")
-        return found
+        result = tuple(self._named("tenants", TenantEntry, self._tenant_fallback))
+        if not result and self._list("tenants"):
+            raise UnusableEntryError("none of the tenants can be decoded")
+        return result
 
     def _limits(self) -> ClientLimits:
-        plain = self._plain.get("limits")
-        if plain is None:
+        raw = self._raw.get("limits")
+        if raw is None:
             return ClientLimits()
         try:
-            limits: ClientLimits = _convert(plain, ClientLimits)
+            limits: ClientLimits = _convert(raw, ClientLimits)
         except UnusableEntryError as failure:
-            self._note("limits", "", failure, FORMER)
-            return self._former.limits
+            self._record_unreadable("limits", "", failure, FORMER)
+            return self._previous.limits
         return limits
 
     def _list(self, key: str) -> list[Any]:
-        found = self._plain.get(key, [])
-        if not isinstance(found, list):
-            raise UnusableEntryError(f"{key} that are no list")
-        return found
+        result = self._raw.get(key, [])
+        if not isinstance(result, list):
+            raise UnusableEntryError(f"{key} is not a list")
+        return result
 
-    def _note(self, part: str, name: str, failure: UnusableEntryError, instead: str) -> None:
-        self._unreadable.append(UnreadablePart(part, name, str(failure), instead))
+    def _record_unreadable(
+        self, part: str, name: str, failure: UnusableEntryError, fallback: str
+    ) -> None:
+        self._unreadable.append(UnreadablePart(part, name, str(failure), fallback))
 
 
-def _plain_routes(spec: Any) -> dict[Address, dict[str, Any]]:
-    """Routes of the configuration in force as they were written, by what they are about."""
-    plain = readable_configuration(spec) if spec is not None else {}
-    routes = plain.get("routes", []) if isinstance(plain, dict) else []
-    return {address: route for route in routes if (address := _address_of(route)) is not None}
+def _raw_routes(spec: Any) -> dict[RouteKey, dict[str, Any]]:
+    """Return the undecoded routes of the active configuration by key."""
+    raw = readable_configuration(spec) if spec is not None else {}
+    routes = raw.get("routes", []) if isinstance(raw, dict) else []
+    return {address: route for route in routes if (address := _key_of(route)) is not None}
 
 
-def _address_of(plain: Any) -> Address | None:
-    if not isinstance(plain, dict):
+def _key_of(raw: Any) -> RouteKey | None:
+    if not isinstance(raw, dict):
         return None
-    host, prefix = plain.get("host"), plain.get("pathPrefix")
+    host, prefix = raw.get("host"), raw.get("pathPrefix")
     if not isinstance(host, str) or not isinstance(prefix, str):
         return None
     return host.lower(), prefix
 
 
-def _convert(plain: Any, into: Any) -> Any:
+def _convert(raw: Any, into: Any) -> Any:
     try:
-        return msgspec.convert(plain, into)
+        return msgspec.convert(raw, into)
     except msgspec.ValidationError as failure:
         raise UnusableEntryError(cause_of(failure)) from None
--- a/src/bellweir/hosted/views/follower.py
+++ b/src/bellweir/hosted/views/follower.py
@@ -1,10 +1,10 @@
-"""Follows all objects of one kind in the store: a list, then watches from its revision on.
+"""Follows all objects of one kind in the store by a list and watches from its revision on.
 
-A watch says nothing while nothing changes, and just as little when it was cut in silence. So
-`check` compares the view now and then with a cheap reading that may be a little old.
+A watch whose connection was silently lost looks like one without changes, so `check` periodically
+compares the view with an inexpensive stale read.
 
-A process need not follow the store itself while peers tell it what they read (`relay`). It does
-so again as soon as what they tell is too old.
+While peers relay the changes (`relay`), the store is not called. The follower resumes as soon as
+relayed updates are too old.
 """
 
 import random
@@ -32,38 +32,34 @@
 )
 from bellweir.hosted.views.kind_state import KindState
 
-WATCH_S = 25.0
-"""Longest wait of one watch."""
-SHORT_WATCH_S = 3.0
-"""The same while peers may soon tell instead."""
-WATCH_AFTER_FAILURE_S = 0.2
-"""The same while it is not known whether the store answers again."""
-DEAF_AFTER_S = 0.5
-"""Time after which a watch in hand should have told of a change that a reading shows."""
-FIRST_PAUSE_S = 0.05
-LONGEST_PAUSE_S = 0.5
-"""Pauses between tries while the store does not answer; doubled from the first one on."""
-FIRST_PAUSE_BESIDE_READERS_S = 0.8
-LONGEST_PAUSE_BESIDE_READERS_S = 1.5
-"""The same for a process that peers will tell when the store answers again: refused calls are paid
-for, too. With 71 machines and a store that is busy twice for 6 s, 2,339 calls instead of 3,315
-with the short first pause, nothing served worse (one play each)."""
-FRESH_S = 1.5
-"""Age from which on what peers tell does not do; a leaving worker must be known of in 2 s."""
-SHORTEST_OUTAGE_S = 1.0
-"""Outages of the store that are shorter let no entry lapse: that takes three heartbeats."""
-RETURN_GRACE_S = 2.0
-"""Time after the store's return within which a living worker's lapsed entry is back (NEWS-23)."""
-LIST_AGAIN_S = 1.0
-"""Shortest time between two lists that are asked for since a change can't be told of an object."""
-IDLE_LOOK_S = 0.25
-"""Pause between two looks whether the store is to be followed."""
-PATIENT_LOOK_S = 0.02
-"""The same at the start, while a peer is asked first; the answer takes a few milliseconds."""
+WATCH_TIMEOUT_S = 25.0
+SHORT_WATCH_TIMEOUT_S = 3.0
+"""Used while relayed updates may soon replace the watch."""
+WATCH_AFTER_FAILURE_TIMEOUT_S = 0.2
+"""Used after a failure, to find out early whether the store answers again."""
+WATCH_DELIVERY_TIMEOUT_S = 0.5
+"""Time within which a watch should deliver a change that a read shows."""
+MIN_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 0.5
+"""Bounds of the exponential backoff while the store does not answer."""
+MIN_BACKOFF_WITH_READERS_S = 0.8
+MAX_BACKOFF_WITH_READERS_S = 1.5
+"""Bounds for a process with readers, which relay the recovery: rejected calls cost as well."""
+MAX_RELAY_AGE_S = 1.5
+"""Age from which on relayed updates are too old; a leaving worker must be known in 2 s."""
+MIN_OUTAGE_S = 1.0
+"""Shorter outages let no entry expire, which takes three missed heartbeats."""
+RECOVERY_GRACE_S = 2.0
+"""Time after a recovery within which a live worker rewrites its expired entry (NEWS-23)."""
+MIN_RELIST_INTERVAL_S = 1.0
+"""Minimum time between lists that are caused by undecodable changes."""
+IDLE_POLL_INTERVAL_S = 0.25
+PEER_WAIT_POLL_INTERVAL_S = 0.02
+"""Used at the start, while a peer is queried before the store."""
 
 
 class KindFollower:
-    """One task; `on_list` and `on_change` are called in the order of revisions."""
+    """Runs as one task; `on_list` and `on_change` are called in the order of revisions."""
 
     def __init__(
         self,
@@ -71,55 +67,55 @@
         kind: str,
         on_list: Callable[[Listing], None],
         on_change: Callable[[RecordChange], None],
-        settle_s: float = 0.0,
+        coalesce_s: float = 0.0,
         is_wanted: Callable[[], bool] = lambda: True,
         is_relayable: bool = True,
-        on_return: Callable[[float], None] = lambda _until_s: None,
+        on_recovery: Callable[[float], None] = lambda _until_s: None,
         entries: UnreadableEntries | None = None,
     ) -> None:
-        """Changes that come within `settle_s` of each other are read by one call.
+        """`coalesce_s`: pause after changes, so that one watch call returns several of them.
 
-        Nothing is followed while `is_wanted` says no; the kind is listed anew after that.
-        `on_return` hears, before anything is read, that the store was away, and until which
-        monotonic time entries that lapsed meanwhile may come back. Peers that follow the store
-        for others tell only the kinds that every process needs; others are not `is_relayable`.
-        `entries` sorts out what they tell and nobody can use.
+        While `is_wanted` returns False nothing is followed; the kind is listed again afterwards.
+        `on_recovery` is called when the store recovers, before anything is read, with the
+        monotonic time until which expired entries may come back. Peers relay only the kinds that
+        every process needs; others are not `is_relayable`. `entries` filters out unusable entries
+        that peers send.
         """
-        self._settle_s = settle_s
+        self._coalesce_s = coalesce_s
         self._store = store
         self._kind = kind
         self._is_wanted = is_wanted
-        self.state = KindState(kind, on_list, on_change, on_return, entries)
-        self._must_list = True
+        self.state = KindState(kind, on_list, on_change, on_recovery, entries)
+        self._needs_list = True
         self._listed_s = float("-inf")
         self._watching_since_s: float | None = None
-        self._lost_since_s: float | None = None
-        self._pause_s = FIRST_PAUSE_S
+        self._unreachable_since_s: float | None = None
+        self._backoff_s = MIN_BACKOFF_S
         self.is_relayed = False
-        """Whether peers tell what is new; the store is not asked meanwhile."""
+        """Whether peers relay the changes and the store is not called."""
         self.has_readers: bool | None = None if is_relayable else False
-        """Whether peers follow the store for this process, too; None: not known yet."""
+        """Whether peers relay to this process; None while unknown."""
         self.has_regular_readers = False
-        """Whether these follow it as a rule, not only while the store turns this process away."""
-        self.patient_until_s = float("-inf")
-        """Monotonic time until which peers are waited for before anything is read here."""
+        """Whether these are its regular readers, not only fallbacks while it is cut off."""
+        self.wait_for_peers_until_s = float("-inf")
+        """Monotonic time until which to wait for peers before the first list."""
         self.listed = threading.Event()
         """Set once the kind has been listed."""
 
     @property
     def _revision(self) -> int | None:
-        return None if self._must_list else self.state.revision
+        return None if self._needs_list else self.state.revision
 
     def run(self, stopping: threading.Event) -> None:
         """Follow until `stopping`."""
         while not stopping.is_set():
             if not self._is_wanted():
-                self._must_list = True
-                stopping.wait(IDLE_LOOK_S)
-            elif self._look_at_relay():
-                stopping.wait(IDLE_LOOK_S)
-            elif self._must_list and time.monotonic() < self.patient_until_s:
-                stopping.wait(PATIENT_LOOK_S)
+                self._needs_list = True
+                stopping.wait(IDLE_POLL_INTERVAL_S)
+            elif self._update_relayed():
+                stopping.wait(IDLE_POLL_INTERVAL_S)
+            elif self._needs_list and time.monotonic() < self.wait_for_peers_until_s:
+                stopping.wait(PEER_WAIT_POLL_INTERVAL_S)
             else:
                 self._follow(stopping)
 
@@ -128,20 +124,20 @@
         if failure is None:
             return
         if failure.kind is StoreErrorKind.COMPACTED:
-            self._must_list = True
+            self._needs_list = True
         else:
-            self._note_failure(failure)
-            stopping.wait(self._next_pause_s())
+            self._record_failure(failure)
+            stopping.wait(self._next_backoff_s())
 
     def check(self) -> None:
-        """Interrupt the watch in hand if a cheap reading fails or shows that it is deaf.
+        """Interrupt the current watch if a stale read fails or shows undelivered changes.
 
-        The reading may be old, so an object that it still has, or lacks, proves nothing; one with
-        a newer revision than the view's does, when the watch has had time to tell of it.
+        A stale read may be older than the view, so only a newer revision that the watch had time
+        to deliver is conclusive.
         """
         watching_since_s = self._watching_since_s
         seen = self._revision
-        if seen is None or self.is_relayed or self._lost_since_s is not None:
+        if seen is None or self.is_relayed or self._unreachable_since_s is not None:
             return
         asked_s = time.monotonic()
         found = self._store.list_kind(self._kind, stale=True)
@@ -151,39 +147,42 @@
             if found.unwrap().newest_revision <= seen:
                 self.state.confirm(asked_s)
                 return
-            if watching_since_s is None or time.monotonic() - watching_since_s <= DEAF_AFTER_S:
+            if (
+                watching_since_s is None
+                or time.monotonic() - watching_since_s <= WATCH_DELIVERY_TIMEOUT_S
+            ):
                 return
         if watching_since_s is not None:
             self._store.interrupt_watches(self._kind)
 
     def age_s(self) -> float:
-        """Seconds since the view was last known to be the store's."""
+        """Return the seconds since the view was last known to be current."""
         return time.monotonic() - self.state.current_as_of_s
 
-    def lost_for_s(self) -> float:
-        """Seconds since the store has not answered; 0 while it does or is not asked."""
-        lost_since_s = self._lost_since_s
-        return 0.0 if lost_since_s is None else time.monotonic() - lost_since_s
+    def unreachable_for_s(self) -> float:
+        """Return the seconds since the store became unreachable; 0 while it is reachable."""
+        unreachable_since_s = self._unreachable_since_s
+        return 0.0 if unreachable_since_s is None else time.monotonic() - unreachable_since_s
 
-    def is_served(self) -> bool:
-        """Look with one cheap reading whether the store answers this process."""
+    def is_store_reachable(self) -> bool:
+        """Probe with one stale read whether the store serves this process."""
         return isinstance(self._store.list_kind(self._kind, stale=True), Success)
 
-    def is_told_lately(self) -> bool:
-        """Whether what peers tell is young enough to rely on."""
-        return time.monotonic() - self.state.relayed_as_of_s < FRESH_S
+    def is_relay_fresh(self) -> bool:
+        """Whether relayed updates are recent enough."""
+        return time.monotonic() - self.state.relayed_as_of_s < MAX_RELAY_AGE_S
 
-    def _look_at_relay(self) -> bool:
-        """Whether peers tell what is new, and lately enough."""
+    def _update_relayed(self) -> bool:
+        """Update and return `is_relayed`."""
         age_s = time.monotonic() - self.state.relayed_as_of_s
-        relayed = bool(self.has_readers) and age_s < FRESH_S
+        relayed = bool(self.has_readers) and age_s < MAX_RELAY_AGE_S
         if relayed != self.is_relayed:
             self.is_relayed = relayed
             if relayed:
-                # The store may turn this process away still: nothing is said of its return.
-                self._lost_since_s = None
-                self._pause_s = FIRST_PAUSE_S
-                self._must_list = False
+                # The store may still reject this process, so no recovery is logged.
+                self._unreachable_since_s = None
+                self._backoff_s = MIN_BACKOFF_S
+                self._needs_list = False
                 self.listed.set()
             event = VIEW_RELAYED if relayed else VIEW_DIRECT
             emit(event, kind=self._kind, age_s=round(min(age_s, 1e6), 3))
@@ -201,9 +200,9 @@
         if not isinstance(found, Success):
             return found.failure()
         listing = found.unwrap()
-        self._note_answer()
+        self._record_answer()
         self.state.apply_listing(listing, asked_s)
-        self._must_list = False
+        self._needs_list = False
         self._listed_s = asked_s
         self.listed.set()
         emit(STORE_LISTED, kind=self._kind, revision=listing.revision, count=len(listing.records))
@@ -219,36 +218,38 @@
         if not isinstance(found, Success):
             return found.failure()
         changes = found.unwrap()
-        self._note_answer()
+        self._record_answer()
         self.state.apply_changes(changes, time.monotonic() if changes.changes else asked_s)
         if not changes.is_whole:
-            # Something can't be read that may have taken any object's place: only a list tells.
-            stopping.wait(min(LIST_AGAIN_S, self._listed_s + LIST_AGAIN_S - asked_s))
-            self._must_list = True
-        elif changes.changes and self._settle_s:
-            stopping.wait(self._settle_s)
+            # An undecodable change may concern any object; only a list gives the current state.
+            stopping.wait(
+                min(MIN_RELIST_INTERVAL_S, self._listed_s + MIN_RELIST_INTERVAL_S - asked_s)
+            )
+            self._needs_list = True
+        elif changes.changes and self._coalesce_s:
+            stopping.wait(self._coalesce_s)
         return None
 
     def _watch_wait_s(self) -> float:
-        if self._lost_since_s is not None:
-            return WATCH_AFTER_FAILURE_S
-        return WATCH_S if self.has_readers is False else SHORT_WATCH_S
+        if self._unreachable_since_s is not None:
+            return WATCH_AFTER_FAILURE_TIMEOUT_S
+        return WATCH_TIMEOUT_S if self.has_readers is False else SHORT_WATCH_TIMEOUT_S
 
-    def _note_answer(self) -> None:
-        self._pause_s = FIRST_PAUSE_S
-        if self._lost_since_s is None:
+    def _record_answer(self) -> None:
+        self._backoff_s = MIN_BACKOFF_S
+        if self._unreachable_since_s is None:
             return
         now_s = time.monotonic()
-        after_s = now_s - self._lost_since_s
-        self._lost_since_s = None
+        after_s = now_s - self._unreachable_since_s
+        self._unreachable_since_s = None
         emit(STORE_REGAINED, kind=self._kind, after_s=round(after_s, 3))
-        if after_s >= SHORTEST_OUTAGE_S:
-            self.state.note_return(now_s + RETURN_GRACE_S)
+        if after_s >= MIN_OUTAGE_S:
+            self.state.note_recovery(now_s + RECOVERY_GRACE_S)
 
-    def _note_failure(self, failure: StoreError) -> None:
-        if self._lost_since_s is not None:
+    def _record_failure(self, failure: StoreError) -> None:
+        if self._unreachable_since_s is not None:
             return
-        self._lost_since_s = time.monotonic()
+        self._unreachable_since_s = time.monotonic()
         emit(
             STORE_LOST,
             kind=self._kind,
@@ -257,11 +258,11 @@
             age_s=round(min(self.age_s(), 1e6), 3),
         )
 
-    def _next_pause_s(self) -> float:
+    def _next_backoff_s(self) -> float:
         beside_readers = self.has_readers and self.has_regular_readers
-        longest_s = LONGEST_PAUSE_BESIDE_READERS_S if beside_readers else LONGEST_PAUSE_S
+        longest_s = MAX_BACKOFF_WITH_READERS_S if beside_readers else MAX_BACKOFF_S
         if beside_readers:
-            self._pause_s = max(self._pause_s, FIRST_PAUSE_BESIDE_READERS_S)
-        pause_s = self._pause_s * random.uniform(0.5, 1.0)
-        self._pause_s = min(2 * self._pause_s, longest_s)
+            self._backoff_s = max(self._backoff_s, MIN_BACKOFF_WITH_READERS_S)
+        pause_s = self._backoff_s * random.uniform(0.5, 1.0)
+        self._backoff_s = min(2 * self._backoff_s, longest_s)
         return pause_s
--- a/src/bellweir/hosted/views/peer_copy.py
+++ b/src/bellweir/hosted/views/peer_copy.py
@@ -1,4 +1,4 @@
-"""The views of a peer, for a process that starts while the store can't be read."""
+"""Copies the views of a peer when a process starts while the store is unavailable."""
 
 from typing import Any
 
@@ -10,21 +10,21 @@
 
 
 class ViewsRequest(Message, frozen=True):
-    """Asks for a peer's views."""
+    """Requests a peer's views."""
 
 
 class ViewsAnswer(Message, frozen=True):
-    """A peer's views, as they stand in the store."""
+    """A peer's views in the format of the store."""
 
     configuration: Any
-    """None while the peer knows none."""
+    """None if the peer has no configuration."""
     workers: dict[str, Any]
 
 
 def register_views(
     transport: Transport, configuration: ConfigurationView, workers: WorkersView
 ) -> None:
-    """Answer the requests of peers."""
+    """Register the handler for view requests of peers."""
 
     def on_request(_sender: Sender, _message: ViewsRequest) -> ViewsAnswer:
         return ViewsAnswer(configuration.spec(), workers.specs())
@@ -40,9 +40,9 @@
     timeout_s: float,
     entries: UnreadableEntries | None = None,
 ) -> bool:
-    """Take over what a peer knows; False when it knows nothing or does not answer.
+    """Copy a peer's views; returns False if it has none or does not answer.
 
-    `entries` sorts out what nobody can use.
+    `entries` filters out unusable entries.
     """
     checks = entries if entries is not None else UnreadableEntries()
     answer = transport.request(address, ViewsRequest(), timeout_s).value_or(None)
--- a/src/bellweir/hosted/views/service.py
+++ b/src/bellweir/hosted/views/service.py
@@ -1,4 +1,4 @@
-"""Service `views`: follows the store, and a peer until the store has been read."""
+"""Kernel service `views`: follows the store, directly or through peers."""
 
 import threading
 from collections.abc import Sequence
@@ -16,22 +16,21 @@
 from bellweir.membership.interface import Membership
 from bellweir.wire.interface import Transport
 
-PEER_PATIENCE_S = 0.4
-"""Time that the store gets before a peer is asked."""
+PEER_COPY_DELAY_S = 0.4
+"""Time to wait for the store before copying from a peer."""
 PEER_TIMEOUT_S = 0.5
-PEER_PAUSE_S = 0.2
-CHECK_PERIOD_S = 1.0
-"""Time between two cheap readings; the kinds that a process follows take turns."""
-READER_CHECK_CYCLE_S = 0.5
-"""Time in which each kind has its turn at a node that others rely on: what it tells must be fresh.
-"""
-SETTLE_S = 0.8
-"""Changes of workers within this time are read by one call. What its reader tells a node must be
-known there within `FRESH_S`: this time, a heartbeat and two ways."""
+PEER_COPY_INTERVAL_S = 0.2
+CHECK_INTERVAL_S = 1.0
+"""Interval of stale reads that check the watches, one kind at a time."""
+READER_CHECK_INTERVAL_S = 0.5
+"""Interval in which every kind is checked at a node that relays to others."""
+COALESCE_S = 0.8
+"""Pause between watches of workers, which batches their changes. Together with a heartbeat and two
+message delays it must stay below `MAX_RELAY_AGE_S`."""
 
 
 class ViewsService(Service):
-    """Configuration and workers as this process knows them."""
+    """Provides the views of the configuration and the workers in this process."""
 
     name = names.VIEWS
     dependencies = (names.TRANSPORT, names.MEMBERSHIP)
@@ -44,9 +43,9 @@
         seed_wait_s: float = SEED_WAIT_S,
         entries: UnreadableEntries | None = None,
     ) -> None:
-        """`seeds` are peers to be asked before the store; for `seed_wait_s` at most.
+        """`seeds` are peers queried before the store, for at most `seed_wait_s`.
 
-        `entries` sorts out what peers tell and nobody can use.
+        `entries` filters out unusable entries that peers send.
         """
         self._kernel = kernel
         self._seeds = seeds
@@ -67,30 +66,30 @@
             RecordKind.WORKERS,
             self._take_workers,
             self._take_worker,
-            SETTLE_S,
-            on_return=self.workers.keep_lapsed_until,
+            COALESCE_S,
+            on_recovery=self.workers.keep_lapsed_until,
             entries=self.entries,
         )
         self._checked += [self.configuration_follower, self.workers_follower]
 
     def subscriber_count(self) -> int:
-        """Nodes that rely on what this node reads."""
+        """Number of nodes subscribed to this node."""
         return self._relay.subscriber_count()
 
     def is_relayed(self) -> bool:
-        """Whether peers tell this node what is new, for every kind."""
+        """Whether every kind is relayed by peers."""
         return self.configuration_follower.is_relayed and self.workers_follower.is_relayed
 
     def is_cut_off(self) -> bool:
-        """Whether the store does not serve this process, so that peers are asked."""
+        """Whether the store does not serve this process, so that it relies on further peers."""
         return self._relay.is_cut_off
 
-    def told_as_of_s(self) -> float:
-        """Monotonic time as of which peers have told all news: the store served one of them."""
-        return self._relay.told_as_of_s()
+    def relayed_as_of_s(self) -> float:
+        """Monotonic time up to which peers have relayed all changes of the store."""
+        return self._relay.relayed_as_of_s()
 
     def add_checked_follower(self, follower: KindFollower) -> None:
-        """Compare another service's view with cheap readings, too."""
+        """Include another service's follower in the periodic checks."""
         self._checked.append(follower)
 
     def start(self) -> None:
@@ -107,7 +106,7 @@
             self._seed_wait_s,
         )
         run_task = self._kernel.executors.run_task
-        run_task("tell-views", self._relay.tell)
+        run_task("tell-views", self._relay.publish)
         run_task("subscribe-views", self._relay.subscribe)
         run_task("follow-configuration", self.configuration_follower.run)
         run_task("follow-workers", self.workers_follower.run)
@@ -124,19 +123,19 @@
         self.workers.apply_change(change)
 
     def _check(self, stopping: threading.Event) -> None:
-        """Interrupt watches that were cut in silence."""
+        """Periodically check for watches that no longer deliver changes."""
         while True:
             for follower in list(self._checked):
-                is_relied_on = self._relay.is_relied_on()
-                cycle_s = READER_CHECK_CYCLE_S / len(self._checked)
-                if stopping.wait(cycle_s if is_relied_on else CHECK_PERIOD_S):
+                has_dependents = self._relay.has_dependents()
+                cycle_s = READER_CHECK_INTERVAL_S / len(self._checked)
+                if stopping.wait(cycle_s if has_dependents else CHECK_INTERVAL_S):
                     return
                 follower.check()
-                self.workers.drop_overdue()
+                self.workers.drop_expired()
 
     def _copy_from_peers(self, stopping: threading.Event) -> None:
-        """Ask peers in turn while the store has not been read."""
-        if self.configuration.known.wait(PEER_PATIENCE_S):
+        """Copy the views of peers until a configuration is known."""
+        if self.configuration.known.wait(PEER_COPY_DELAY_S):
             return
         while not stopping.is_set() and not self.configuration.known.is_set():
             own = self._membership.self_member().node
@@ -151,4 +150,4 @@
                     PEER_TIMEOUT_S,
                     self.entries,
                 )
-            self.configuration.known.wait(PEER_PAUSE_S)
+            self.configuration.known.wait(PEER_COPY_INTERVAL_S)
--- a/src/bellweir/hosted/views/workers.py
+++ b/src/bellweir/hosted/views/workers.py
@@ -1,11 +1,11 @@
-"""The live workers as the store lists them.
+"""View of the live workers in the store.
 
-While the store is away entries of workers lapse, though the workers live and serve; they are back
-soon after its return. So a ready worker whose entry is gone when the store is back is kept for
-that time, and dropped when it has not come back by then.
+While the store is unavailable, entries of live workers expire and are rewritten soon after its
+recovery. So a ready worker whose entry is missing then is kept for a grace period and dropped if
+its entry is not back by the end.
 
-A worker that starts again under its id replaces the former one at once; `starts` says which of two
-starts is the newer one. An entry that a former start wrote late changes nothing.
+A restarted worker replaces its former incarnation at once (`incarnation_tracker`). A delayed entry
+of a former incarnation is ignored.
 """
 
 import threading
@@ -26,7 +26,11 @@
     WORKER_STARTED_AGAIN,
 )
 from bellweir.hosted.records import WorkerEntry, WorkerState
-from bellweir.hosted.views.incarnation_tracker import AddressStarts, StartVerdict, WorkerStarts
+from bellweir.hosted.views.incarnation_tracker import (
+    AddressTracker,
+    IncarnationTracker,
+    IncarnationVerdict,
+)
 
 GONE = "gone"
 
@@ -40,7 +44,7 @@
     incarnation: Incarnation = field(init=False, compare=False)
 
     def __post_init__(self) -> None:
-        """Name the incarnation once: it is the key of whatever is known of the worker."""
+        """Set the incarnation, the key of all per-worker state."""
         object.__setattr__(self, "incarnation", Incarnation(self.instance, self.entry.born))
 
     @property
@@ -49,51 +53,51 @@
         return self.entry.address
 
     def version_of(self, model: str) -> int | None:
-        """Version of a model as the entry tells it."""
+        """Return the version of a model in the entry; None without one."""
         return next((held.version for held in self.entry.models if held.name == model), None)
 
 
 class _Listed(NamedTuple):
-    """An entry as it stands in the store."""
+    """An entry in the format of the store."""
 
     spec: object
     revision: int
-    """Store revision of its last change; 0 where a peer told of it."""
+    """Store revision of its last change; 0 if copied from a peer."""
 
 
 Entries = dict[str, _Listed]
 
 
 class WorkersView:
-    """Workers by instance; reading needs no lock."""
+    """Workers by instance. Reads take no lock."""
 
     def __init__(self, now_s: Callable[[], float] = time.monotonic) -> None:
         self._now_s = now_s
         self._lock = threading.Lock()
         self._workers: Mapping[str, Worker] = MappingProxyType({})
-        """Listed workers, and those that are kept though their entries have lapsed."""
+        """Listed workers and those kept after their entries expired."""
         self._kept_until_s: Mapping[str, float] = MappingProxyType({})
         self._grace_until_s = float("-inf")
         self._entries: Entries = {}
-        self._starts = WorkerStarts()
-        self._addresses = AddressStarts()
-        self._on_other: list[Callable[[str], None]] = []
+        self._incarnations = IncarnationTracker()
+        self._addresses = AddressTracker()
+        self._address_listeners: list[Callable[[str], None]] = []
         self._fresh = False
         self.revision = 0
-        """Counts changes, so that others can tell whether to look again."""
+        """Number of changes; callers compare it to detect one."""
         self.restart_count = 0
-        """Times that a worker was read as started again."""
+        """Number of restarts observed."""
 
     def worker(self, instance: str) -> Worker | None:
-        """The worker of an instance id, if it is listed."""
-        return None if self._is_over(instance) else self._workers.get(instance)
+        """Return the worker with this instance id, if listed."""
+        return None if self._is_expired(instance) else self._workers.get(instance)
 
     def all(self) -> tuple[Worker, ...]:
-        """All listed workers."""
+        """Return all listed workers."""
         return tuple(self._present())
 
     def ready(self, service: str) -> list[Worker]:
-        """Workers of a service that may get requests."""
+        """Return the workers of a service that accept requests."""
         return [
             worker
             for worker in self._present()
@@ -101,48 +105,48 @@
         ]
 
     def is_lapsed(self, instance: str) -> bool:
-        """Whether a worker is kept though its entry is gone."""
-        return instance in self._kept_until_s and not self._is_over(instance)
+        """Whether a worker is kept although its entry has expired."""
+        return instance in self._kept_until_s and not self._is_expired(instance)
 
     def keep_lapsed_until(self, until_s: float) -> None:
-        """The store is back after an outage: keep ready workers until then if they are missing."""
+        """Keep ready workers without an entry until then; called when the store recovers."""
         self._grace_until_s = max(self._grace_until_s, until_s)
 
-    def drop_overdue(self) -> None:
-        """Forget the workers that have not come back in time; called now and then."""
-        if any(self._is_over(instance) for instance in self._kept_until_s):
+    def drop_expired(self) -> None:
+        """Drop kept workers whose grace period has ended; called periodically."""
+        if any(self._is_expired(instance) for instance in self._kept_until_s):
             self._update(lambda entries: entries, fresh=False)
 
     def _present(self) -> Iterator[Worker]:
         workers = self._workers
         if not self._kept_until_s:
             return iter(workers.values())
-        return (worker for name, worker in workers.items() if not self._is_over(name))
+        return (worker for name, worker in workers.items() if not self._is_expired(name))
 
-    def _is_over(self, instance: str) -> bool:
+    def _is_expired(self, instance: str) -> bool:
         until_s = self._kept_until_s.get(instance)
         return until_s is not None and self._now_s() >= until_s
 
     def specs(self) -> dict[str, object]:
-        """Entries as they stand in the store, by instance, for a peer that starts."""
+        """Return the entries in the format of the store, by instance."""
         with self._lock:
             return {instance: listed.spec for instance, listed in self._entries.items()}
 
-    def subscribe_address_changes(self, on_other: Callable[[str], None]) -> None:
-        """Call back with each address at which another worker is now, or one that started again.
+    def subscribe_address_changes(self, listener: Callable[[str], None]) -> None:
+        """Call `listener` with each address at which the incarnation has changed.
 
-        What is open to the address leads to nobody any more. Called off the lock, on the thread
-        that takes the news; it must not block.
+        Open connections to the address are stale then. The listener is called without the lock,
+        on the thread that applies the update, and must not block.
         """
-        self._on_other.append(on_other)
+        self._address_listeners.append(listener)
 
     def apply_listing(self, listing: Listing) -> None:
-        """Replace the whole view."""
+        """Replace the whole view by a listing."""
         entries = {record.name: _Listed(record.spec, record.revision) for record in listing.records}
         self._update(lambda _before: entries, fresh=True)
 
     def apply_peer_copy(self, specs: Mapping[str, object]) -> None:
-        """Use a peer's view, unless the store has been read already."""
+        """Use a peer's view unless the store has already been read."""
         copied = {instance: _Listed(spec, 0) for instance, spec in specs.items()}
         self._update(lambda before: before if self._fresh else copied, fresh=False)
 
@@ -159,75 +163,75 @@
         self._update(changed, fresh=True)
 
     def _update(self, change: Callable[[Entries], Entries], *, fresh: bool) -> None:
-        """Put changed entries in force; whoever reads and changes them does so under the lock."""
+        """Apply `change` to the entries; reading and changing them happens under the lock."""
         with self._lock:
             before = self._workers
-            entries = self._without_former(change(dict(self._entries)))
+            entries = self._without_superseded(change(dict(self._entries)))
             found = {
                 name: worker
                 for name, listed in entries.items()
                 if (worker := _worker(name, listed.spec))
             }
-            kept = self._kept(found)
+            kept = self._select_kept(found)
             found |= {instance: before[instance] for instance in kept}
-            # In this order a reader never sees a kept worker as one without an end.
+            # This order ensures that lock-free readers never see a kept worker without an expiry.
             self._kept_until_s = MappingProxyType({**self._kept_until_s, **kept})
             self._workers = MappingProxyType(found)
             self._kept_until_s = MappingProxyType(kept)
             self._entries = entries
             self._fresh = self._fresh or fresh
             self.revision += 1
-            others = self._others_at_addresses(before, found)
+            others = self._changed_addresses(before, found)
         for instance in found.keys() | before.keys():
             _log_change(before.get(instance), found.get(instance))
         for address in others:
-            for told in self._on_other:
+            for told in self._address_listeners:
                 told(address)
 
-    def _without_former(self, entries: Entries) -> Entries:
-        """Pass over what a start wrote that a newer one has replaced: what was known stays."""
+    def _without_superseded(self, entries: Entries) -> Entries:
+        """Replace entries written by superseded incarnations by the known ones."""
         taken: Entries = {}
         for instance, listed in entries.items():
             known = self._entries.get(instance)
-            if listed == known or not self._is_former(instance, listed, known):
+            if listed == known or not self._is_superseded(instance, listed, known):
                 taken[instance] = listed
             elif known is not None:
                 taken[instance] = known._replace(revision=listed.revision)
         return taken
 
-    def _is_former(self, instance: str, listed: _Listed, known: _Listed | None) -> bool:
+    def _is_superseded(self, instance: str, listed: _Listed, known: _Listed | None) -> bool:
         worker = _worker(instance, listed.spec)
         if worker is None:
             return False
-        newest = self._starts.newest(instance)
-        verdict = self._starts.take(worker.incarnation, listed.revision)
-        if newest is None or verdict in (StartVerdict.FIRST, StartVerdict.KNOWN):
+        newest = self._incarnations.newest(instance)
+        verdict = self._incarnations.observe(worker.incarnation, listed.revision)
+        if newest is None or verdict in (IncarnationVerdict.FIRST, IncarnationVerdict.KNOWN):
             return False
-        is_former = verdict is not StartVerdict.AGAIN
-        self.restart_count += not is_former
+        is_superseded = verdict is not IncarnationVerdict.RESTARTED
+        self.restart_count += not is_superseded
         if known is None or listed.revision != known.revision:
             emit(
-                WORKER_FORMER_ENTRY if is_former else WORKER_STARTED_AGAIN,
+                WORKER_FORMER_ENTRY if is_superseded else WORKER_STARTED_AGAIN,
                 instance=instance,
                 address=worker.address,
                 born=worker.entry.born,
                 known_born=newest.born_ms,
             )
-        return is_former
+        return is_superseded
 
-    def _others_at_addresses(
+    def _changed_addresses(
         self, before: Mapping[str, Worker], after: Mapping[str, Worker]
     ) -> list[str]:
-        """Addresses that somebody else was at when they were last listed."""
+        """Return the addresses at which the incarnation has changed."""
         return [
             worker.address
             for instance, worker in after.items()
             if worker != before.get(instance)
-            and self._addresses.is_other(worker.address, worker.incarnation)
+            and self._addresses.changed(worker.address, worker.incarnation)
         ]
 
-    def _kept(self, listed: Mapping[str, Worker]) -> dict[str, float]:
-        """Workers to be kept besides the listed ones, and until when."""
+    def _select_kept(self, listed: Mapping[str, Worker]) -> dict[str, float]:
+        """Return the unlisted workers to keep and until when."""
         now_s = self._now_s()
         kept = {
             instance: until_s
--- a/src/bellweir/hosted/weights/__init__.py
+++ b/src/bellweir/hosted/weights/__init__.py
@@ -1,1 +1,1 @@
-"""Roll-outs of weight versions by one lease holder with fenced orders."""
+"""Rollout of weight versions to workers, ordered by a lease holder under a fencing token."""
--- a/src/bellweir/hosted/weights/controller.py
+++ b/src/bellweir/hosted/weights/controller.py
@@ -1,14 +1,14 @@
-"""Brings workers to the newest named version of their models' weights, as `plan` says.
+"""Rollout controller: orders workers to load the newest published weight versions (see `plan`).
 
-Target: the version that the trainer named last. Current state: what the worker itself reports,
-asked for after each order; the store's list of workers lags behind by a heartbeat. Only the
-holder of the lease gives orders, each under the lease's fence and for one incarnation of one
-worker. An order without an answer may still be carried out: the next one names the sequence
-number that the worker had, so that only one of the two takes effect.
+The desired state is the newest published version; the reported state is queried from the worker
+after each order, since its entry in the store lags by a heartbeat. Only the lease holder sends
+orders, each with the fencing token and for one incarnation of a worker. An unanswered order may
+still be executed: the next one carries the worker's last sequence number, so that only one of the
+two takes effect.
 
-A worker that starts again counts its orders anew, so that an order to the former start may still
-be carried out by the new one and take it back to an older version. So what a report told counts
-beside the entry only until the entry must have caught up; then the worker is asked again.
+Sequence numbers restart with the worker, so an order to a former incarnation may be executed by the
+new one and return it to an older version. A report therefore takes precedence over the entry only
+until the entry must be up to date.
 """
 
 import time
@@ -29,61 +29,61 @@
 from bellweir.hosted.views.workers import Worker, WorkersView
 from bellweir.hosted.weights.lags import VersionLags
 from bellweir.hosted.weights.lease import Lease
-from bellweir.hosted.weights.load_limit import LoadLimit
-from bellweir.hosted.weights.plan import ModelTarget, plan_loads
+from bellweir.hosted.weights.plan import ModelTarget, plan_weight_loads
 from bellweir.hosted.weights.versions import VersionsView
+from bellweir.hosted.weights.weight_load_limit import WeightLoadLimit
 
 ORDER_TIMEOUT_S = 0.5
 REPORT_TIMEOUT_S = 0.4
-LOOK_AFTER_ORDER_S = 0.9
-"""Time after an order at which the worker is first asked whether it is done."""
-LOOK_AGAIN_S = 0.2
-RETRY_AFTER_SILENCE_S = 1.0
-"""Time after an order without an answer before it is given again."""
-REPORT_COUNTS_S = 3.0
-"""Time for which a report counts beside an older entry: two beats of a worker and the way of its
-entry here. After that the entry may be the newer one."""
-MAY_LOAD = frozenset({OrderAnswer.ACCEPTED, OrderAnswer.UNKNOWN})
-"""Answers after which the worker may be loading."""
-MODE_MIXING = "retain"
-"""Running requests go on under the new version."""
-MODE_PURE = "wait"
-"""Running requests end first, so that each text has one version."""
+FIRST_CHECK_DELAY_S = 0.9
+"""Time from an accepted order to the first query of its completion."""
+CHECK_INTERVAL_S = 0.2
+UNANSWERED_RETRY_DELAY_S = 1.0
+"""Time after an unanswered order before the next check."""
+REPORT_TTL_S = 3.0
+"""Time for which a report takes precedence over the worker's entry: two heartbeats and the delay of
+the view."""
+MAY_BE_LOADING = frozenset({OrderAnswer.ACCEPTED, OrderAnswer.UNKNOWN})
+"""Answers after which the worker may be loading weights."""
+MODE_MIXED_VERSIONS = "retain"
+"""Running requests continue with the new version."""
+MODE_SINGLE_VERSION = "wait"
+"""Running requests finish first, so that each text comes from one version."""
 
 
 @dataclass
-class _Load:
-    """One worker on its way to a version."""
+class _WeightLoad:
+    """A weight load in progress at one worker."""
 
     worker: Worker
     model: str
     version: int
-    look_s: float
-    """When to ask the worker next."""
-    since_s: float
+    next_check_s: float
+    """Time of the next query of the worker."""
+    started_s: float
     accepted_s: float | None = None
-    """When the worker took the order; None while it has not said so."""
+    """Time at which the worker accepted the order; None until then."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Held:
-    """A version that a worker reported."""
+class _ReportedVersion:
+    """A weight version that a worker reported."""
 
     version: int
     until_s: float
-    """Time until which it counts beside an entry that tells another one."""
+    """Time until which it takes precedence over the worker's entry."""
 
 
-TellLoad = Callable[[Incarnation, str, float], None]
-"""Called with a worker, a model and the seconds for which the worker loads; 0: it does no more."""
+AnnounceWeightLoad = Callable[[Incarnation, str, float], None]
+"""Called with worker, model and expected seconds of a weight load; 0 when it has ended."""
 
 
-def _tell_nobody(_worker: Incarnation, _model: str, _for_s: float) -> None:
-    """Nobody runs work that a load would hold up."""
+def _announce_to_nobody(_worker: Incarnation, _model: str, _for_s: float) -> None:
+    """Default without a coordinator."""
 
 
 class RolloutController:
-    """`step` is called by one task, a few times a second."""
+    """Orders weight loads. `step` is called periodically by a single task."""
 
     def __init__(
         self,
@@ -96,14 +96,14 @@
         node: str,
         *,
         sparse_loads: bool = True,
-        tell_load: TellLoad = _tell_nobody,
+        announce_weight_load: AnnounceWeightLoad = _announce_to_nobody,
         now_s: Callable[[], float] = time.monotonic,
     ) -> None:
-        """With `sparse_loads` a worker loads only what its models' trainers make necessary.
+        """With `sparse_loads` the version lag that jobs allow is used to skip loads.
 
-        `tell_load` is called with each load that begins or has ended, or was not begun.
+        `announce_weight_load` is called before each order and when the load ends or is refused.
         """
-        self._tell_load = tell_load
+        self._announce_weight_load = announce_weight_load
         self._now_s = now_s
         self._lease = lease
         self._versions = versions
@@ -113,52 +113,52 @@
         self._lags = lags
         self._node = node
         self._sparse_loads = sparse_loads
-        self._loads: dict[Incarnation, _Load] = {}
-        self._held: dict[tuple[Incarnation, str], _Held] = {}
-        """Versions by incarnation and model that workers reported themselves."""
-        self._limits: dict[str, LoadLimit] = {}
-        """How many workers of a service may load at once."""
+        self._loads: dict[Incarnation, _WeightLoad] = {}
+        self._reported: dict[tuple[Incarnation, str], _ReportedVersion] = {}
+        """Reported versions by incarnation and model."""
+        self._limits: dict[str, WeightLoadLimit] = {}
+        """Limits of concurrent loads by service."""
 
     def step(self) -> None:
-        """Look after the loads under way, and order the next ones."""
+        """Check the loads in progress and order the next ones."""
         table = self._configuration.table()
         if table is None or self._lease.remaining_s() <= 0:
             self._loads.clear()
             return
-        self._look_after_loads()
+        self._check_loads()
         by_service: dict[str, list[ModelTarget]] = {}
         for model, version in self._versions.all().items():
             lag = self._lags.lag_of(model, version) if self._sparse_loads else 0
             target = ModelTarget(model, version, lag)
-            for service in _services_of(table, model):
+            for service in _services_with(table, model):
                 by_service.setdefault(service, []).append(target)
         for service, targets in by_service.items():
-            self._order_next(table, service, targets)
+            self._order_loads(table, service, targets)
 
-    def _order_next(self, table: RouteTable, service: str, targets: list[ModelTarget]) -> None:
+    def _order_loads(self, table: RouteTable, service: str, targets: list[ModelTarget]) -> None:
         workers = self._workers.ready(service)
         held = {
             (worker.incarnation, target.model): self.held_version(worker, target.model)
             for worker in workers
             for target in targets
         }
-        limit = self._limit_of(service).at_once(len(workers))
-        for planned in plan_loads(targets, workers, held):
+        limit = self._limit_of(service).max_concurrent(len(workers))
+        for planned in plan_weight_loads(targets, workers, held):
             if self._loading_count(service) >= limit:
                 return
             if planned.worker.incarnation not in self._loads:
                 self._order(table, planned.worker, planned.model, planned.version)
 
-    def _limit_of(self, service: str) -> LoadLimit:
-        return self._limits.setdefault(service, LoadLimit())
+    def _limit_of(self, service: str) -> WeightLoadLimit:
+        return self._limits.setdefault(service, WeightLoadLimit())
 
     def _loading_count(self, service: str) -> int:
         return sum(load.worker.entry.service == service for load in self._loads.values())
 
     def held_version(self, worker: Worker, model: str) -> int:
-        """What is known of a worker's version; 0 when nothing is."""
+        """Return a worker's known version of a model; 0 if unknown."""
         listed = worker.version_of(model)
-        held = self._held.get((worker.incarnation, model))
+        held = self._reported.get((worker.incarnation, model))
         if held is None:
             return listed or 0
         if listed is not None and self._now_s() >= held.until_s:
@@ -166,7 +166,7 @@
         return max(listed or 0, held.version)
 
     def _report_of(self, worker: Worker) -> WorkerReport | None:
-        """A worker's report; None without one, or when another start of the worker answers."""
+        """Return a worker's report; None without one or if another incarnation answered."""
         report = self._control.report(worker.address, REPORT_TIMEOUT_S)
         if report is None or not worker.incarnation.is_told_by(report.born_ms):
             return None
@@ -174,29 +174,29 @@
 
     def _order(self, table: RouteTable, worker: Worker, model: str, version: int) -> None:
         now_s = self._now_s()
-        load = _Load(worker, model, version, now_s + RETRY_AFTER_SILENCE_S, now_s)
+        load = _WeightLoad(worker, model, version, now_s + UNANSWERED_RETRY_DELAY_S, now_s)
         self._loads[worker.incarnation] = load
         report = self._report_of(worker)
-        if report is None or self._is_done(load, report):
+        if report is None or self._is_complete(load, report):
             return
-        self._held.pop((worker.incarnation, model), None)
+        self._reported.pop((worker.incarnation, model), None)
         if report.order_in_progress:
-            load.look_s = now_s + LOOK_AGAIN_S
+            load.next_check_s = now_s + CHECK_INTERVAL_S
             return
         fence = self._lease.begin_operation(ORDER_TIMEOUT_S)
         if fence == 0:
             return
         order = VersionOrder(
-            model, version, _mode(table, worker), self._node, fence, report.sequence
+            model, version, _load_mode(table, worker), self._node, fence, report.sequence
         )
-        # Told before: the worker refuses runs from the order's arrival on.
-        self._tell_load(worker.incarnation, model, LOOK_AFTER_ORDER_S)
+        # Announced first, since the worker refuses requests from the arrival of the order on.
+        self._announce_weight_load(worker.incarnation, model, FIRST_CHECK_DELAY_S)
         answer = self._control.order(worker.address, worker.instance, order, ORDER_TIMEOUT_S)
-        self._note_answer(load, order, answer)
-        if answer not in MAY_LOAD:
-            self._tell_load(worker.incarnation, model, 0.0)
+        self._record_answer(load, order, answer)
+        if answer not in MAY_BE_LOADING:
+            self._announce_weight_load(worker.incarnation, model, 0.0)
 
-    def _note_answer(self, load: _Load, order: VersionOrder, answer: OrderAnswer) -> None:
+    def _record_answer(self, load: _WeightLoad, order: VersionOrder, answer: OrderAnswer) -> None:
         now_s = self._now_s()
         emit(
             ORDER_SENT,
@@ -210,69 +210,69 @@
         )
         if answer is OrderAnswer.ACCEPTED:
             load.accepted_s = now_s
-            load.look_s = now_s + LOOK_AFTER_ORDER_S
+            load.next_check_s = now_s + FIRST_CHECK_DELAY_S
         elif answer is OrderAnswer.IN_FORCE:
-            self._note_held(load, order.version)
+            self._record_version(load, order.version)
         elif answer is OrderAnswer.UNKNOWN:
-            load.look_s = now_s + RETRY_AFTER_SILENCE_S
+            load.next_check_s = now_s + UNANSWERED_RETRY_DELAY_S
         else:
-            load.look_s = now_s + LOOK_AGAIN_S
+            load.next_check_s = now_s + CHECK_INTERVAL_S
 
-    def _look_after_loads(self) -> None:
+    def _check_loads(self) -> None:
         now_s = self._now_s()
-        self._forget_former()
+        self._drop_former()
         for incarnation, load in list(self._loads.items()):
             if not self._is_listed(incarnation):
                 del self._loads[incarnation]
-            elif now_s >= load.look_s:
-                self._look_at(load)
+            elif now_s >= load.next_check_s:
+                self._check_load(load)
 
-    def _forget_former(self) -> None:
-        """Drop what workers reported that are gone or have started again."""
-        kept = {key: held for key, held in self._held.items() if self._is_listed(key[0])}
-        self._held = kept
+    def _drop_former(self) -> None:
+        """Drop the reports of workers that are gone or have restarted."""
+        kept = {key: held for key, held in self._reported.items() if self._is_listed(key[0])}
+        self._reported = kept
 
     def _is_listed(self, incarnation: Incarnation) -> bool:
-        """Whether a worker is there and has not started anew."""
+        """Whether this incarnation of a worker is still listed."""
         listed = self._workers.worker(incarnation.instance)
         return listed is not None and listed.incarnation == incarnation
 
-    def _look_at(self, load: _Load) -> None:
+    def _check_load(self, load: _WeightLoad) -> None:
         report = self._report_of(load.worker)
-        if report is not None and self._is_done(load, report):
-            self._note_duration(load)
+        if report is not None and self._is_complete(load, report):
+            self._record_duration(load)
             return
-        load.look_s = self._now_s() + LOOK_AGAIN_S
+        load.next_check_s = self._now_s() + CHECK_INTERVAL_S
         if report is None or not report.order_in_progress:
-            # Not taken, or not heard of: the next step orders it anew if it is still needed.
+            # Not accepted or unknown: the next step repeats the order if it is still needed.
             del self._loads[load.worker.incarnation]
 
-    def _note_duration(self, load: _Load) -> None:
+    def _record_duration(self, load: _WeightLoad) -> None:
         if load.accepted_s is not None:
             service = load.worker.entry.service
             seconds = self._now_s() - load.accepted_s
-            self._limit_of(service).finished(seconds, len(self._workers.ready(service)))
+            self._limit_of(service).record_duration(seconds, len(self._workers.ready(service)))
 
-    def _is_done(self, load: _Load, report: WorkerReport) -> bool:
+    def _is_complete(self, load: _WeightLoad, report: WorkerReport) -> bool:
         for held in report.models:
             if held.name == load.model and held.version >= load.version:
-                self._note_held(load, held.version)
+                self._record_version(load, held.version)
                 return True
         return False
 
-    def _note_held(self, load: _Load, version: int) -> None:
+    def _record_version(self, load: _WeightLoad, version: int) -> None:
         key = (load.worker.incarnation, load.model)
-        before = self._held.get(key)
-        self._held[key] = _Held(version, self._now_s() + REPORT_COUNTS_S)
+        before = self._reported.get(key)
+        self._reported[key] = _ReportedVersion(version, self._now_s() + REPORT_TTL_S)
         self._loads.pop(load.worker.incarnation, None)
         if before is not None and before.version == version:
             return
-        self._tell_load(load.worker.incarnation, load.model, 0.0)
+        self._announce_weight_load(load.worker.incarnation, load.model, 0.0)
         emit(VERSION_LOADED, instance=load.worker.instance, model=load.model, version=version)
 
 
-def _services_of(table: RouteTable, model: str) -> list[str]:
-    """Services whose workers can hold a model."""
+def _services_with(table: RouteTable, model: str) -> list[str]:
+    """Return the services whose engines serve a model."""
     return [
         name
         for name, entry in table.services.items()
@@ -280,10 +280,10 @@
     ]
 
 
-def _mode(table: RouteTable, worker: Worker) -> str:
-    """How running requests are treated: routes that want one version let them end first."""
+def _load_mode(table: RouteTable, worker: Worker) -> str:
+    """Return how the load treats running requests, according to the service's routes."""
     for route in table.configuration.routes:
         serves = any(part.service == worker.entry.service for part in route.parts)
         if route.kind in JOB_KINDS and route.single_version and serves:
-            return MODE_PURE
-    return MODE_MIXING
+            return MODE_SINGLE_VERSION
+    return MODE_MIXED_VERSIONS
--- a/src/bellweir/hosted/weights/lease_messages.py
+++ b/src/bellweir/hosted/weights/lease_messages.py
@@ -1,10 +1,8 @@
-"""Tells the nodes that may take a lease of each renewal.
+"""Messages that announce renewals and hand-overs of a lease to the other candidates.
 
-A node that watches a lease must have known its newest revision for the whole lease time before
-it takes it. One that learns of renewals only by looking begins to count at its look, which waits
-for the store when the store is away. Told of each renewal at once, it has counted all the while.
-
-A holder sends a message to each node with a data folder with each renewal, two in three seconds.
+A candidate must have known the newest revision for the whole lease time before it takes the lease.
+Announced renewals start this period without a read of the store, also while the store is
+unavailable.
 """
 
 from bellweir.hosted.weights.lease import Lease
@@ -13,34 +11,34 @@
 
 
 class LeaseNews(Message, frozen=True):
-    """A change of a lease's object that its holder has seen acknowledged."""
+    """A write of a lease object that the store has acknowledged to the holder."""
 
     lease: str
     revision: int
     holder: str
-    """Node name; empty when the lease was given back."""
+    """Node name; empty if the lease was released."""
 
 
 class LeaseHandOver(Message, frozen=True):
-    """A holder that the store turns away gives up its lease; whoever is served may take it."""
+    """A holder that the store rejects gives up its lease to a node that the store serves."""
 
     lease: str
     revision: int
-    """Revision of the object that it gives up: only this one may be replaced at once."""
+    """Revision that is given up: only this one may be replaced without waiting."""
     idle_s: float
-    """Seconds since the end of its last act; below 0 while one is under way."""
+    """Seconds since the end of the holder's last operation; negative while one is in progress."""
 
 
 class StepAside(Message, frozen=True):
-    """Asks a node that is to be taken away to give its leases back and to take none."""
+    """Asks a node that is about to be removed to release its leases and to acquire none."""
 
 
-STEP_ASIDE_S = 10.0
-"""Time for which a node that was asked stands aside; it is asked again and again meanwhile."""
+ABSTENTION_S = 10.0
+"""Time for which a node abstains after each `StepAside`."""
 
 
-class LeaseTeller:
-    """One node's part for one lease: tells of its own renewals and hears of others'."""
+class LeaseAnnouncer:
+    """Announces one lease's changes on this node and passes on those of other nodes."""
 
     def __init__(self, lease: Lease, name: str, transport: Transport, members: Membership) -> None:
         self._lease = lease
@@ -48,44 +46,44 @@
         self._transport = transport
         self._members = members
         self._holder_address: str | None = None
-        lease.tell = self.tell
-        lease.tell_hand_over = self.tell_hand_over
-        transport.register(LeaseNews, self.handle_news)
+        lease.announce = self.announce
+        lease.announce_hand_over = self.announce_hand_over
+        transport.register(LeaseNews, self.handle_renewal)
         transport.register(LeaseHandOver, self.handle_hand_over)
         transport.register(StepAside, self.handle_step_aside)
 
     @property
     def holder_address(self) -> str | None:
-        """Where the other node that holds the lease accepts peers, as it told last."""
+        """Peer address of the node that holds the lease; None if unknown or this node."""
         return self._holder_address
 
-    def tell(self, revision: int, holder: str) -> None:
-        """Tell the other nodes that may hold the lease of its object's newest revision."""
+    def announce(self, revision: int, holder: str) -> None:
+        """Announce the newest revision of the lease object to the other candidates."""
         self._holder_address = None
-        self._send(LeaseNews(self._name, revision, holder))
+        self._broadcast(LeaseNews(self._name, revision, holder))
 
-    def tell_hand_over(self, revision: int, idle_s: float) -> None:
-        """Tell the other nodes that may hold the lease that this one has given it up."""
-        self._send(LeaseHandOver(self._name, revision, idle_s))
+    def announce_hand_over(self, revision: int, idle_s: float) -> None:
+        """Announce to the other candidates that this node has given up the lease."""
+        self._broadcast(LeaseHandOver(self._name, revision, idle_s))
 
-    def _send(self, news: Message) -> None:
+    def _broadcast(self, message: Message) -> None:
         own = self._members.self_member().node
         for member in self._members.members():
             may_hold = member.has_data_folder and member.state is not MemberState.DEAD
             if may_hold and member.node != own:
-                self._transport.send(member.peer_address, news)
+                self._transport.send(member.peer_address, message)
 
-    def handle_news(self, sender: Sender, news: LeaseNews) -> None:
-        """Take a holder's word for a revision; it counts from its arrival on."""
-        if news.lease == self._name:
-            self._holder_address = sender.address if news.holder else None
-            self._lease.hear(news.revision, news.holder)
+    def handle_renewal(self, sender: Sender, message: LeaseNews) -> None:
+        """Note a renewal; the lease time counts from the arrival of the message."""
+        if message.lease == self._name:
+            self._holder_address = sender.address if message.holder else None
+            self._lease.note_renewal(message.revision, message.holder)
 
-    def handle_hand_over(self, sender: Sender, news: LeaseHandOver) -> None:
-        """Take a holder's word that it acts no more."""
-        if news.lease == self._name:
-            self._lease.hear_hand_over(news.revision, news.idle_s)
+    def handle_hand_over(self, sender: Sender, message: LeaseHandOver) -> None:
+        """Note that the holder has given up the lease."""
+        if message.lease == self._name:
+            self._lease.note_hand_over(message.revision, message.idle_s)
 
     def handle_step_aside(self, sender: Sender, message: StepAside) -> None:
-        """Leave the lease to others for a while."""
-        self._lease.step_aside(STEP_ASIDE_S)
+        """Release the lease and abstain from it for a while."""
+        self._lease.step_aside(ABSTENTION_S)
--- a/src/bellweir/hosted/weights/plan.py
+++ b/src/bellweir/hosted/weights/plan.py
@@ -1,9 +1,8 @@
-"""Which workers hold which version of a model: few loads, and always enough workers that fit.
+"""Plans which worker loads which weight version, with as few weight loads as possible.
 
-A trainer that takes samples of the version before the newest, too, needs each worker to load
-only every second version. Workers that serve several models need not hold all of them: each
-model gets a part of the workers, so that the loads for a version stay near the workers' share
-for one trainer.
+If jobs accept the version before the newest, each worker needs to load only every second version.
+Workers of several models are divided among the models, so each version is loaded by a part of the
+workers. Enough workers always hold a version that the newest jobs accept.
 """
 
 import math
@@ -15,65 +14,65 @@
 from bellweir.hosted.incarnation import Incarnation
 from bellweir.hosted.views.workers import Worker
 
-FEWEST_WORKERS = 2
-"""Workers for a model, where there are as many: one of them may be lost or load."""
+MIN_WORKERS_PER_MODEL = 2
+"""One of them may fail or be loading."""
 
 
 @dataclass(frozen=True)
 class ModelTarget:
-    """What is wanted of one model."""
+    """Desired state of one model."""
 
     model: str
-    named: int
-    """Newest version that the trainer has named."""
+    newest_version: int
+    """Newest version that the trainer has published."""
     lag: int
-    """Versions that the trainer's newest job allowed behind the newest one of its time."""
+    """Number of versions behind the newest one that the newest job accepts."""
 
     @property
-    def oldest_useful(self) -> int:
-        """Oldest version that a job for the newest version may use."""
-        return self.named - self.lag
+    def oldest_usable(self) -> int:
+        """Oldest version that the newest job accepts."""
+        return self.newest_version - self.lag
 
 
 @dataclass(frozen=True)
-class PlannedLoad:
-    """A worker that should load a model's newest version."""
+class PlannedWeightLoad:
+    """A load of a model's newest version by one worker."""
 
     worker: Worker
     model: str
     version: int
     is_urgent: bool
-    """Whether the worker is of no use for the newest jobs until then."""
-    covered: float
-    """Share of the model's wanted workers that fit already when this load is begun."""
+    """Whether the worker's version is too old for the newest jobs."""
+    coverage: float
+    """Fraction of the model's target workers that already fit when this load starts."""
 
 
 HeldVersions = Mapping[tuple[Incarnation, str], int]
-"""Versions by incarnation and model."""
+"""Version by incarnation and model."""
 
 
-def plan_loads(
+def plan_weight_loads(
     targets: Sequence[ModelTarget], workers: Sequence[Worker], held: HeldVersions
-) -> list[PlannedLoad]:
-    """Return the loads that are to be made, the most urgent first.
+) -> list[PlannedWeightLoad]:
+    """Return the required loads, the most urgent ones first.
 
-    Among equally urgent ones the model comes first of whose wanted workers the smallest share
-    fits, so that where loads are scarce every model gets its part of them, whatever its name.
+    Loads of equal urgency are ordered by their model's coverage, lowest first, so that concurrent
+    loads are shared fairly among models.
     """
     assigned: dict[Incarnation, int] = {}
-    loads: list[PlannedLoad] = []
+    loads: list[PlannedWeightLoad] = []
     for target in sorted(targets, key=lambda each: each.model):
         chosen = _choose_workers(target, workers, held, assigned, len(targets))
         for worker in chosen:
             assigned[worker.incarnation] = assigned.get(worker.incarnation, 0) + 1
         loads += _loads_for(target, chosen, held)
-    return sorted(loads, key=lambda load: (not load.is_urgent, load.covered))
+    return sorted(loads, key=lambda load: (not load.is_urgent, load.coverage))
 
 
-def workers_wanted(worker_count: int, model_count: int, lag: int) -> int:
-    """Workers that hold one of `model_count` models."""
+def target_worker_count(worker_count: int, model_count: int, lag: int) -> int:
+    """Return how many of `worker_count` workers hold one of `model_count` models."""
     share = (1 + lag) * worker_count // max(1, model_count)
-    return min(worker_count, max(FEWEST_WORKERS, share))
+    return min(worker_count, max(MIN_WORKERS_PER_MODEL, share))
 
 
 def _choose_workers(
@@ -83,12 +82,12 @@
     assigned: Mapping[Incarnation, int],
     model_count: int,
 ) -> list[Worker]:
-    """The model's workers: those that hold a version it has lately used stay."""
-    wanted = workers_wanted(len(workers), model_count, target.lag)
+    """Choose the model's workers, those that already hold a recent version first."""
+    wanted = target_worker_count(len(workers), model_count, target.lag)
 
     def rank(worker: Worker) -> tuple[bool, int, int]:
         version = held.get((worker.incarnation, target.model), 0)
-        is_recent = version > 1 and version >= target.oldest_useful - 1
+        is_recent = version > 1 and version >= target.oldest_usable - 1
         key = f"{target.model}/{worker.instance}".encode()
         return not is_recent, assigned.get(worker.incarnation, 0), xxhash.xxh3_64_intdigest(key)
 
@@ -97,20 +96,24 @@
 
 def _loads_for(
     target: ModelTarget, chosen: Sequence[Worker], held: HeldVersions
-) -> list[PlannedLoad]:
+) -> list[PlannedWeightLoad]:
     def version_at(worker: Worker) -> int:
         return held.get((worker.incarnation, target.model), 0)
 
-    behind = sorted((one for one in chosen if version_at(one) < target.named), key=version_at)
+    behind = sorted(
+        (one for one in chosen if version_at(one) < target.newest_version), key=version_at
+    )
     newest = len(chosen) - len(behind)
-    fitting = sum(version_at(one) >= target.oldest_useful for one in chosen)
+    fitting = sum(version_at(one) >= target.oldest_usable for one in chosen)
     enough = math.ceil(len(chosen) / (1 + target.lag))
-    loads: list[PlannedLoad] = []
+    loads: list[PlannedWeightLoad] = []
     for worker in behind:
-        is_urgent = version_at(worker) < target.oldest_useful
+        is_urgent = version_at(worker) < target.oldest_usable
         if is_urgent or newest < enough:
-            covered = fitting / len(chosen) if is_urgent else newest / enough
-            loads.append(PlannedLoad(worker, target.model, target.named, is_urgent, covered))
+            coverage = fitting / len(chosen) if is_urgent else newest / enough
+            loads.append(
+                PlannedWeightLoad(worker, target.model, target.newest_version, is_urgent, coverage)
+            )
             newest += 1
             fitting += is_urgent
     return loads
--- a/src/bellweir/hosted/weights/service.py
+++ b/src/bellweir/hosted/weights/service.py
@@ -1,4 +1,4 @@
-"""Service `rollouts`: the lease, and the controller while it is held."""
+"""Kernel service `rollouts`: keeps the rollout lease and runs the controller under it."""
 
 import random
 import threading
@@ -11,12 +11,12 @@
 from bellweir.hosted.views.follower import KindFollower
 from bellweir.hosted.views.service import ViewsService
 from bellweir.hosted.weights.controller import RolloutController
-from bellweir.hosted.weights.job_messages import JobsHeard, JobTeller, NewestJob
+from bellweir.hosted.weights.job_messages import JobAnnouncer, JobReceiver, NewestJob
 from bellweir.hosted.weights.lags import VersionLags
 from bellweir.hosted.weights.lease import Lease
-from bellweir.hosted.weights.lease_messages import LeaseTeller
-from bellweir.hosted.weights.load_messages import LoadListener, LoadTeller
+from bellweir.hosted.weights.lease_messages import LeaseAnnouncer
 from bellweir.hosted.weights.versions import VersionsView
+from bellweir.hosted.weights.weight_load_messages import WeightLoadAnnouncer, WeightLoadListener
 from bellweir.kernel import names
 from bellweir.kernel.node import Kernel
 from bellweir.kernel.service import Service
@@ -29,12 +29,12 @@
 """Time without a renewal after which the lease may be taken."""
 CONTROL_STEP_S = 0.1
 SERVED_MARGIN_S = 0.2
-"""Time after a renewal's failure as of which peers must know the store, whose answers to them may
-have been under way."""
+"""Time after a failed renewal from which on an answer of the store to peers counts; earlier answers
+may already have been in transit."""
 
 
 class RolloutService(Service):
-    """One task keeps the lease, another one gives the orders."""
+    """Runs one task that keeps the lease and one that sends the orders."""
 
     name = names.ROLLOUTS
     dependencies = (
@@ -58,12 +58,12 @@
             settings.bounds.lease_ms / 1000,
         )
         self._versions = VersionsView()
-        self._leaving = threading.Event()
-        self._job_teller: JobTeller | None = None
+        self._draining = threading.Event()
+        self._job_announcer: JobAnnouncer | None = None
 
     @property
     def lease(self) -> Lease:
-        """The lease under which this machine does all duties of one node at a time."""
+        """Lease shared by all tasks that run on only one node at a time."""
         return self._lease
 
     def start(self) -> None:
@@ -71,12 +71,12 @@
         views = self._views = self._kernel.registry.find(names.VIEWS, ViewsService)
         self._ledger = self._kernel.registry.find(names.LEDGER, Ledger)  # type: ignore[type-abstract]
         transport = self._kernel.registry.find(names.TRANSPORT, Transport)  # type: ignore[type-abstract]
-        self._heard = JobsHeard(transport)
+        self._job_receiver = JobReceiver(transport)
         if self._settings.rollouts.tell_renewals:
             members = self._kernel.registry.find(names.MEMBERSHIP, Membership)  # type: ignore[type-abstract]
-            teller = LeaseTeller(self._lease, LEASE_NAME, transport, members)
+            announcer = LeaseAnnouncer(self._lease, LEASE_NAME, transport, members)
             if self._settings.rollouts.tell_jobs:
-                self._job_teller = JobTeller(transport, lambda: teller.holder_address)
+                self._job_announcer = JobAnnouncer(transport, lambda: announcer.holder_address)
         follower = KindFollower(
             self._platform.store,
             RecordKind.VERSIONS,
@@ -91,10 +91,10 @@
             views.workers,
             views.configuration,
             self._platform.control,
-            VersionLags(lambda: (*self._local_jobs(), *self._heard.newest)),
+            VersionLags(lambda: (*self._local_jobs(), *self._job_receiver.newest)),
             self._settings.node.name,
             sparse_loads=self._settings.rollouts.sparse_loads,
-            tell_load=self._load_teller(transport).tell,
+            announce_weight_load=self._weight_load_announcer(transport).announce,
         )
         views.workers.subscribe_address_changes(self._platform.control.renew)
         metrics = self._kernel.registry.find(names.TELEMETRY, MetricsService).metrics
@@ -109,20 +109,20 @@
         run_task("rollout-lease", self._keep_lease)
         run_task("rollout-control", self._control)
 
-    def _load_teller(self, transport: Transport) -> LoadTeller:
+    def _weight_load_announcer(self, transport: Transport) -> WeightLoadAnnouncer:
         if not self._settings.rollouts.tell_loads:
-            return LoadTeller(transport, lambda: None)
-        coordinator = self._kernel.registry.find(names.BATCHES, LoadListener)  # type: ignore[type-abstract]
-        return LoadTeller(transport, self._coordinator_address, coordinator)
+            return WeightLoadAnnouncer(transport, lambda: None)
+        coordinator = self._kernel.registry.find(names.BATCHES, WeightLoadListener)  # type: ignore[type-abstract]
+        return WeightLoadAnnouncer(transport, self._coordinator_address, coordinator)
 
     def _coordinator_address(self) -> str | None:
-        """Where the jobs' leader accepts peers; None where it is this node or is not known."""
+        """Peer address of the leader of the jobs; None if it is this node or unknown."""
         if self._ledger.leads(JOBS_KEY):
             return None
-        return self._heard.leader_address or self._ledger.leader_address(JOBS_KEY)
+        return self._job_receiver.leader_address or self._ledger.leader_address(JOBS_KEY)
 
     def _local_jobs(self) -> list[NewestJob]:
-        """Jobs as the local replica knows them; a little old on a follower."""
+        """Jobs of the local replica, which may lag behind on a follower."""
         machine = self._ledger.local_machine(JOBS_KEY, BatchJobs)
         if not isinstance(machine, BatchJobs):
             return []
@@ -132,8 +132,8 @@
         ]
 
     def drain(self, deadline_s: float) -> None:
-        """Give the lease back."""
-        self._leaving.set()
+        """Release the lease."""
+        self._draining.set()
         self._lease.release()
 
     def stop(self) -> None:
@@ -141,24 +141,24 @@
 
     def _keep_lease(self, stopping: threading.Event) -> None:
         if self._settings.node.bootstrap:
-            # One of many store machines makes the lease, and tells the others.
-            self._lease.woken.wait(random.uniform(0.0, FIRST_START_SPREAD_S))
-        while not stopping.is_set() and not self._leaving.is_set():
+            # Spread the first starts, so that one node creates the lease and announces it.
+            self._lease.wake_event.wait(random.uniform(0.0, FIRST_START_SPREAD_S))
+        while not stopping.is_set() and not self._draining.is_set():
             self._lease.step()
-            self._lease.woken.wait(self._lease.pause_s())
-            self._lease.woken.clear()
+            self._lease.wake_event.wait(self._lease.pause_s())
+            self._lease.wake_event.clear()
 
-    def _is_turned_away(self) -> bool:
-        """Whether the store has served peers since it refuses the renewals here."""
-        since_s = self._lease.refused_since_s()
-        return since_s is not None and self._views.told_as_of_s() > since_s + SERVED_MARGIN_S
+    def _is_cut_off(self) -> bool:
+        """Whether the store has served peers since renewals began to fail here."""
+        started_s = self._lease.failing_since_s()
+        return started_s is not None and self._views.relayed_as_of_s() > started_s + SERVED_MARGIN_S
 
     def _control(self, stopping: threading.Event) -> None:
         while not stopping.wait(CONTROL_STEP_S):
-            if self._leaving.is_set():
+            if self._draining.is_set():
                 continue
-            if self._is_turned_away():
+            if self._is_cut_off():
                 self._lease.hand_over()
-            if self._job_teller is not None and self._ledger.leads(JOBS_KEY):
-                self._job_teller.tell(self._local_jobs())
+            if self._job_announcer is not None and self._ledger.leads(JOBS_KEY):
+                self._job_announcer.announce(self._local_jobs())
             self._controller.step()
--- a/src/bellweir/hosted/weights/versions.py
+++ b/src/bellweir/hosted/weights/versions.py
@@ -1,4 +1,4 @@
-"""The versions of weights that trainers have named, as the store lists them."""
+"""View of the weight versions that trainers have published in the store."""
 
 from collections.abc import Mapping
 from types import MappingProxyType
@@ -10,22 +10,22 @@
 
 
 class VersionsView:
-    """Newest named version by model; only ever a newer one."""
+    """Newest published version of each model; versions never decrease."""
 
     def __init__(self) -> None:
         self._versions: Mapping[str, int] = MappingProxyType({})
 
     def all(self) -> Mapping[str, int]:
-        """Newest named version by model."""
+        """Return the newest published version by model."""
         return self._versions
 
     def apply_listing(self, listing: Listing) -> None:
-        """Take the store's listing."""
+        """Apply a listing of the store."""
         for record in listing.records:
             self._take(record)
 
     def apply_change(self, change: RecordChange) -> None:
-        """Take a change; a named version is never taken back."""
+        """Apply a change; the deletion of a version is ignored."""
         if not change.deleted:
             self._take(change.record)
 
