--- a/features/support/hosted_gateway.py
+++ b/features/support/hosted_gateway.py
@@ -1,4 +1,4 @@
-"""A hosted gateway's request interface in this process, before stand-ins of workers."""
+"""A hosted gateway's request interface in this process, with stand-in workers."""
 
 import http.client
 import itertools
@@ -10,7 +10,7 @@
 
 from bellweir.hosted.interface import Listing, StoredRecord
 from bellweir.hosted.queueing.gate import RequestGate
-from bellweir.hosted.room.observed import ObservedRoom
+from bellweir.hosted.room.observed import ObservedCapacity
 from bellweir.hosted.serving.application import RequestApplication
 from bellweir.hosted.serving.attempt import WorkerConnections
 from bellweir.hosted.serving.forwarding import Forwarder
@@ -18,10 +18,10 @@
 from bellweir.hosted.serving.selection import WorkerLoads
 from bellweir.hosted.serving.streams import StreamForwarder
 from bellweir.hosted.settings import RoomSettings
-from bellweir.hosted.sight.interface import WorkerSeen
+from bellweir.hosted.sight.interface import WorkerStats
 from bellweir.hosted.tenants.admission import KeyCheck
 from bellweir.hosted.usage.counter import UsageCounter
-from bellweir.hosted.usage.true_time import TrueTime
+from bellweir.hosted.usage.wall_clock import StableWallClock
 from bellweir.hosted.views.configuration import ConfigurationView
 from bellweir.hosted.views.workers import WorkersView
 from bellweir.http_server.caller_watch import CallerWatch
@@ -43,7 +43,7 @@
 
 
 def configuration(version=1, tenants=(), public=()):
-    """`tenants` are names with their keys; `public` holds prefixes of routes without a key."""
+    """`tenants` are pairs of name and keys; `public` holds path prefixes of public routes."""
     routes = [
         {"host": HOST, "pathPrefix": prefix, "kind": kind, "service": "app"}
         | {"timeoutMs": 10_000, "targetMs": 2_000}
@@ -58,39 +58,39 @@
 
 
 class NoBatches:
-    def is_call(self, request):
+    def is_job_request(self, request):
         return False
 
 
-class WorkersSeen:
-    """What other gateways are said to have seen, by incarnation."""
+class SharedWorkerStats:
+    """Fake statistics shared by other gateways, by incarnation."""
 
     def __init__(self):
-        self.told = {}
+        self.stats_by_worker = {}
 
-    def seen(self, incarnation):
-        return self.told.get(incarnation, WorkerSeen(incarnation))
+    def stats(self, incarnation):
+        return self.stats_by_worker.get(incarnation, WorkerStats(incarnation))
 
 
 class GatewayUnderTest:
-    """Listens on loopback; `close` ends it."""
+    """A gateway listening on loopback until `close` is called."""
 
     def __init__(self, workers, sight=None, room_settings=None):
         self.executors = Executors()
         self.view, self.workers = ConfigurationView(), WorkersView()
         self.view.apply(configuration(), "test")
         self.show_workers({worker.instance: worker.entry("app") for worker in workers})
-        self.loads = WorkerLoads("a", sight=sight)
+        self.loads = WorkerLoads("a", monitor=sight)
         connections = self._connections = (
-            WorkerConnections(HEADERS, sight.load_told) if sight else WorkerConnections(HEADERS)
+            WorkerConnections(HEADERS, sight.record_load) if sight else WorkerConnections(HEADERS)
         )
         self.workers.subscribe_address_changes(connections.renew)
         self.caller_watch = CallerWatch(self.executors)
         self.caller_watch.start()
         self.metrics = RequestMetrics()
-        self.usage = UsageCounter(USAGE_WINDOW_S, TrueTime())
-        self.known_workers = WorkersSeen()
-        room = ObservedRoom(self.loads.in_hand, self.loads.mean_s, sight or self.known_workers)
+        self.usage = UsageCounter(USAGE_WINDOW_S, StableWallClock())
+        self.shared_stats = SharedWorkerStats()
+        room = ObservedCapacity(self.loads.in_flight, self.loads.mean_s, sight or self.shared_stats)
         self.room_settings = room_settings or RoomSettings()
         self.refused = []
         self.gate = RequestGate(room, self.room_settings, self.refused.append)
@@ -136,10 +136,10 @@
         self.caller_watch.stop()
         self.server.close_all()
         self.executors.stop()
-        self._connections.forget_others(set())
+        self._connections.retain(set())
 
     def send(self, path, body=b"body", deadline_ms=5_000, host=HOST, more=()):
-        """Send one request; its answer with status, headers, body and whether it was whole."""
+        """Send one request; return status, headers, body and whether the body is complete."""
         request_id = f"request-{next(self._numbers)}"
         connection = http.client.HTTPConnection(self.address, timeout=20.0)
         headers = {
@@ -166,7 +166,7 @@
         )
 
     def send_and_leave(self, path):
-        """Send a request on a connection and close it at once after."""
+        """Send a request and close its connection shortly after."""
         request_id = f"request-{next(self._numbers)}"
         host, port = self.address.split(":")
         connection = socket.create_connection((host, int(port)))
--- a/src/bellweir/hosted/batches/coordinator.py
+++ b/src/bellweir/hosted/batches/coordinator.py
@@ -1,8 +1,7 @@
 """Runs the open batch jobs on the node that leads their shard.
 
-The state machine of the shard says what is accepted, listed and ended; everything here is
-rebuilt from it by the next leader. An item may run more than once; its first committed result
-counts.
+The replicated state machine holds jobs, results and ends; the state kept here is rebuilt from it
+by the next leader. An item may run more than once; its first committed result counts.
 """
 
 import threading
@@ -10,14 +9,14 @@
 from collections.abc import Iterator
 
 from bellweir.events.log import emit
-from bellweir.hosted.batches.attempts import ItemAttempts
-from bellweir.hosted.batches.carried import CarriedTexts
+from bellweir.hosted.batches.attempts import ItemRunner
 from bellweir.hosted.batches.committer import Committer
-from bellweir.hosted.batches.mover import Run, RunMover
 from bellweir.hosted.batches.progress import ItemProgress, Stage
+from bellweir.hosted.batches.run_mover import Run, RunMover
 from bellweir.hosted.batches.state import JOBS_KEY, BatchJobs, JobItem, JobState
-from bellweir.hosted.batches.step_queue import OpenStep, StepQueue
-from bellweir.hosted.batches.worker_choice import WorkerChoice, score_route
+from bellweir.hosted.batches.step_scheduler import OpenStep, StepScheduler
+from bellweir.hosted.batches.text_cache import TextCache
+from bellweir.hosted.batches.worker_selection import WorkerSelector, score_route
 from bellweir.hosted.log_events import COORDINATION_LEFT, COORDINATION_TAKEN, ITEM_TAKEN_OVER
 from bellweir.hosted.records import Route
 from bellweir.hosted.serving.attempt import Cancellation
@@ -28,16 +27,15 @@
 from bellweir.kernel.executors import Executors, ExecutorSaturatedError, WorkKind
 from bellweir.ledger.interface import Ledger
 
-STEP_S = 0.025
-"""Time between two looks at what is to be run."""
+POLL_INTERVAL_S = 0.025
 DEFAULT_POLICY = BatchSettings()
 
 ItemKey = tuple[str, str]
-"""Ids of job and item."""
+"""Job id and item id."""
 
 
 class Coordinator:
-    """One task that looks at the jobs, and one call on an executor for each attempt."""
+    """One scheduling task, and one executor call for each attempt."""
 
     def __init__(
         self,
@@ -45,7 +43,7 @@
         configuration: ConfigurationView,
         workers: WorkersView,
         loads: WorkerLoads,
-        attempts: ItemAttempts,
+        attempts: ItemRunner,
         executors: Executors,
         policy: BatchSettings = DEFAULT_POLICY,
     ) -> None:
@@ -56,101 +54,103 @@
         self._executors = executors
         self._policy = policy
         self.committer = Committer(ledger, self._is_leading)
-        attempts.keep_part = self.committer.keep
-        attempts.keep_period_s = policy.keep_texts_s
+        attempts.save_checkpoint = self.committer.put_checkpoint
+        attempts.checkpoint_interval_s = policy.keep_texts_s
         self._lock = threading.Lock()
         self._progress: dict[ItemKey, ItemProgress] = {}
         self._running: dict[ItemKey, Run] = {}
-        self._carried = CarriedTexts()
-        self._choice = WorkerChoice(workers, loads, attempts, policy)
+        self._text_cache = TextCache()
+        self._worker_selector = WorkerSelector(workers, loads, attempts, policy)
         self._mover = RunMover(attempts)
-        self._queue = StepQueue(attempts.known_events, self._choice.paces_of)
+        self._step_scheduler = StepScheduler(
+            attempts.predicted_events_or_none, self._worker_selector.event_times_of
+        )
         self._leading = False
         self._wake = threading.Event()
 
     def run(self, stopping: threading.Event) -> None:
-        """Coordinate whenever this node leads, until `stopping`."""
+        """Schedule items whenever this node leads, until `stopping`."""
         while not stopping.is_set():
-            self._wake.wait(STEP_S)
+            self._wake.wait(POLL_INTERVAL_S)
             self._wake.clear()
             machine = self._ledger.local_machine(JOBS_KEY, BatchJobs)
             leads = self._ledger.leads(JOBS_KEY)
             if leads and isinstance(machine, BatchJobs):
-                self._coordinate(list(machine.jobs.values()))
+                self._run_pass(list(machine.jobs.values()))
             elif self._leading:
-                self._leave()
-        self._leave()
+                self._step_down()
+        self._step_down()
 
     def running_count(self) -> int:
-        """Attempts in hand."""
+        """Return the number of running attempts."""
         return len(self._running)
 
     def _is_leading(self) -> bool:
         return self._ledger.leads(JOBS_KEY)
 
-    def _coordinate(self, jobs: list[JobState]) -> None:
+    def _run_pass(self, jobs: list[JobState]) -> None:
         if not self._leading:
             self._leading = True
             emit(COORDINATION_TAKEN, jobs=sum(state.is_open for state in jobs))
         table = self._configuration.table()
-        self._drop_ended(jobs)
+        self._remove_finished(jobs)
         if table is not None:
             with self._lock:
                 running = list(self._running.values())
-            self._choice.begin_look(running, table)
+            self._worker_selector.begin_round(running, table)
             if self._policy.move_runs:
-                self._mover.look(running, self._choice.targets)
+                self._mover.move_runs(running, self._worker_selector.move_targets)
             self._start_waiting(jobs, table)
 
     def _start_waiting(self, jobs: list[JobState], table: RouteTable) -> None:
-        """Start items until there is no place left for those of a job.
+        """Start waiting items; once one finds no free slot, skip others of its job and stage.
 
-        One that lacks a worker for a reason of its own says nothing of the job's other items.
+        An item with constraints of its own may lack a worker where others of the job don't.
         """
         full: set[tuple[str, Stage]] = set()
         for progress in self._waiting(jobs, table):
             kind = (progress.job.id, progress.stage)
             if kind not in full and not self._start(progress, table):
-                if not self._choice.is_particular(progress):
+                if not self._worker_selector.has_own_constraints(progress):
                     full.add(kind)
-                self._choice.let_versions_go(progress)
+                self._worker_selector.restart_if_version_gone(progress)
 
-    def _leave(self) -> None:
+    def _step_down(self) -> None:
         with self._lock:
             running = list(self._running.values())
             self._progress.clear()
-            self._carried.forget()
+            self._text_cache.clear()
         for run in running:
             run.cancellation.cancel()
         if self._leading:
             self._leading = False
             emit(COORDINATION_LEFT, running=len(running))
 
-    def _drop_ended(self, jobs: list[JobState]) -> None:
-        """Cancel what runs for jobs that are ended, and forget items that are listed."""
+    def _remove_finished(self, jobs: list[JobState]) -> None:
+        """Cancel attempts of ended jobs, and drop items with a recorded result."""
         open_items = {
             (state.job.id, item_id)
             for state in jobs
             if state.is_open
             for item_id in state.items
-            if item_id not in state.listed
+            if item_id not in state.recorded_ids
         }
         with self._lock:
-            gone = [key for key in self._progress if key not in open_items]
-            for key in gone:
+            finished = [key for key in self._progress if key not in open_items]
+            for key in finished:
                 progress = self._progress.pop(key)
-                # One that still runs is kept once its attempt has ended.
+                # A running item is added by its attempt, when this has ended.
                 if key not in self._running:
-                    self._carried.keep(progress)
+                    self._text_cache.add(progress)
             cancelled = [run for key, run in self._running.items() if key not in open_items]
         for run in cancelled:
             run.cancellation.cancel()
 
     def _waiting(self, jobs: list[JobState], table: RouteTable) -> list[ItemProgress]:
-        """Items that need an attempt now.
+        """Return the items that need an attempt now, in order of priority.
 
         The oldest job goes first, and in it the longest texts; where steps of several trainers
-        compete, their groups go as the queue has them.
+        compete, the scheduler orders their groups.
         """
         steps = []
         waiting: list[ItemProgress] = []
@@ -158,68 +158,70 @@
             route = table.find(state.job.host, state.job.path_prefix) if state.is_open else None
             if route is not None:
                 steps.append(OpenStep(state, route))
-                found = list(self._waiting_of(state, route, jobs))
+                found = list(self._waiting_in(state, route, jobs))
                 waiting += sorted(found, key=self._urgency) if self._policy.long_first else found
         if self._policy.order_by_need:
             with self._lock:
                 known, running = dict(self._progress), list(self._running)
-            self._queue.look(steps, known, running, table)
+            self._step_scheduler.update(steps, known, running, table)
             waiting.sort(key=self._rank)
         return waiting
 
     def _rank(self, progress: ItemProgress) -> int:
-        """Place of an item beside those of other jobs; what was begun goes on first."""
-        is_begun = progress.stage is not Stage.TEXT or progress.moved_to is not None
-        return -1 if is_begun else self._queue.rank(progress)
+        """Sort key among the items of all jobs: items already started go first."""
+        is_begun = progress.stage is not Stage.GENERATION or progress.moved_to is not None
+        return -1 if is_begun else self._step_scheduler.rank(progress)
 
     def _urgency(self, progress: ItemProgress) -> tuple[bool, bool, float]:
-        """Order of work in a job: whole texts to be scored, moved texts, then long ones."""
-        expected = self._attempts.expected_events(progress) - progress.events
-        return progress.stage is Stage.TEXT, not progress.moved_to, -expected
+        """Sort key in a job: scoring first, then moved generations, then the longest remainder."""
+        expected = self._attempts.predicted_events(progress) - progress.events
+        return progress.stage is Stage.GENERATION, not progress.moved_to, -expected
 
-    def _waiting_of(
+    def _waiting_in(
         self, state: JobState, route: Route, jobs: list[JobState]
     ) -> Iterator[ItemProgress]:
-        """Items of one job that need an attempt now; whole results go to the committer."""
+        """Yield the items of a job that need an attempt now; queue results to be committed."""
         now_s = time.monotonic()
         for item in state.job.items:
             key = (state.job.id, item.id)
-            if item.id in state.listed or key in self._running:
+            if item.id in state.recorded_ids or key in self._running:
                 continue
             progress = self._progress_of(key, state, route, item, jobs)
             progress.route = route
             if progress.stage is Stage.RESULT:
                 if not progress.is_committing:
-                    self.committer.put(progress)
+                    self.committer.put_result(progress)
             elif progress.not_before_s <= now_s:
                 yield progress
 
     def _progress_of(
         self, key: ItemKey, state: JobState, route: Route, item: JobItem, jobs: list[JobState]
     ) -> ItemProgress:
-        """The item's progress; a new item begins with what an earlier job made of it."""
+        """Return an item's progress; a new one resumes from checkpoints or a cached text."""
         with self._lock:
             known = self._progress.get(key)
         if known is not None:
             return known
         progress = ItemProgress(state.job, route, item)
         progress.guessed_tokens = self._attempts.guessed_tokens(item)
-        is_known = progress.go_on_from(state.parts.get(item.id, ()))
+        is_known = progress.resume_from(state.checkpoints.get(item.id, ()))
         if is_known:
             emit(ITEM_TAKEN_OVER, request_id=item.id, job=state.job.id, events=progress.events)
         with self._lock:
             if not is_known and self._policy.carry_texts:
-                self._carried.hand_on(progress, jobs)
+                self._text_cache.restore(progress, jobs)
             self._progress[key] = progress
         return progress
 
     def _start(self, progress: ItemProgress, table: RouteTable) -> bool:
-        """Start an item's next attempt, if it need not wait; False when no worker has room."""
-        worker = self._choice.take_worker(progress, table)
+        """Start an item's next attempt unless it has to wait; False if no slot is free."""
+        worker = self._worker_selector.acquire_worker(progress, table)
         progress.moved_to = None
         if worker is None:
-            return self._choice.is_held
-        progress.urgency = self._queue.urgency(progress) if self._policy.tell_urgency else None
+            return self._worker_selector.is_held
+        progress.urgency = (
+            self._step_scheduler.urgency(progress) if self._policy.tell_urgency else None
+        )
         key = (progress.job.id, progress.item.id)
         run = Run(progress, worker, Cancellation(), time.monotonic())
         with self._lock:
@@ -234,9 +236,9 @@
                 maximum.max_attempts if maximum else 1,
             )
         except (ExecutorSaturatedError, RuntimeError):
-            self._loads.released(worker.incarnation)
-            self._attempts.refusals.ended(worker.incarnation, progress.job.model)
-            self._attempts.failing.ended(worker.incarnation, progress.item.id)
+            self._loads.release(worker.incarnation)
+            self._attempts.refusal_backoff.record_end(worker.incarnation, progress.job.model)
+            self._attempts.quarantine.record_end(worker.incarnation, progress.item.id)
             with self._lock:
                 self._running.pop(key, None)
             return False
@@ -245,21 +247,21 @@
     def _run(self, key: ItemKey, run: Run, maximum_failures: int) -> None:
         progress, worker = run.progress, run.worker
         try:
-            if progress.stage is Stage.TEXT:
-                self._attempts.run_text(progress, worker, run.cancellation)
+            if progress.stage is Stage.GENERATION:
+                self._attempts.run_generation(progress, worker, run.cancellation)
             else:
-                self._attempts.run_score(progress, worker, maximum_failures, run.cancellation)
+                self._attempts.run_scoring(progress, worker, maximum_failures, run.cancellation)
         except Exception:
-            # Reported by the executor; the worker's place must not stay taken for good.
-            self._loads.released(worker.incarnation)
+            # The executor reports it; the slot of the worker must not leak.
+            self._loads.release(worker.incarnation)
             raise
         finally:
-            self._attempts.failing.ended(worker.incarnation, progress.item.id)
+            self._attempts.quarantine.record_end(worker.incarnation, progress.item.id)
             with self._lock:
                 self._running.pop(key, None)
                 is_wanted = self._progress.get(key) is progress
                 if not is_wanted and self._leading:
-                    self._carried.keep(progress)
+                    self._text_cache.add(progress)
             if is_wanted and progress.stage is Stage.RESULT and not progress.is_committing:
-                self.committer.put(progress)
+                self.committer.put_result(progress)
             self._wake.set()
--- a/src/bellweir/hosted/sight/interface.py
+++ b/src/bellweir/hosted/sight/interface.py
@@ -1,7 +1,6 @@
-"""What is known of workers from the requests of all gateways, as typed values and abstract class.
+"""Typed values and abstract class for the shared statistics of workers.
 
-A gateway of many sends each worker little, so that its own requests tell next to nothing of the
-worker's load or health. What gateways tell each other carries its age; what is old counts less.
+Each of many gateways sends too few requests to a worker to learn its load or health alone.
 """
 
 from abc import ABC, abstractmethod
@@ -11,108 +10,109 @@
 from bellweir.hosted.sight.worker_load import WorkerLoad
 
 
-class SeenOutcome(Enum):
-    """How a request at a worker ended, as far as it tells of the worker."""
+class ObservedOutcome(Enum):
+    """How a request at a worker ended, as evidence of the worker's health."""
 
     SERVED = "served"
-    """A whole answer that is no failure of the worker's."""
+    """A complete answer that is not a failure of the worker."""
     FAILED = "failed"
-    """The worker's own failure, an answer that was cut, or none in time."""
+    """A failure of the worker, a truncated answer, or a timeout."""
     LATE = "late"
-    """Given up since no answer came in the time that fellows take; also a failure."""
+    """Given up for taking longer than the service's workers usually do; counts as a failure."""
     REFUSED = "refused"
-    """The worker said that it did not run the request."""
+    """The worker answered that it did not run the request."""
     UNKNOWN = "unknown"
-    """Ended by this side, before the worker could show anything."""
+    """Ended by the gateway or its client before the worker showed anything."""
 
 
-class WorkerSeen:
-    """What is known of one incarnation of a worker now."""
+class WorkerStats:
+    """Statistics of one incarnation of a worker at this moment."""
 
     __slots__ = (
         "age_s",
-        "in_hand",
+        "in_flight",
         "incarnation",
-        "is_set_aside",
+        "is_ejected",
         "load",
         "load_age_s",
-        "slow_s",
-        "usual_s",
+        "median_s",
+        "p95_s",
     )
 
     def __init__(
         self,
         incarnation: Incarnation,
-        in_hand: float = 0.0,
-        usual_s: float = 0.0,
-        slow_s: float = 0.0,
+        in_flight: float = 0.0,
+        median_s: float = 0.0,
+        p95_s: float = 0.0,
         age_s: float = float("inf"),
         *,
-        is_set_aside: bool = False,
+        is_ejected: bool = False,
         load: WorkerLoad | None = None,
         load_age_s: float = float("inf"),
     ) -> None:
-        """`in_hand`: requests of all gateways that were heard of, this one's included.
+        """`in_flight`: known requests of all gateways, this one included.
 
-        `usual_s` and `slow_s` are the median and the 95th percentile of its answers' times in
-        seconds; 0 while unknown. `age_s` is the age of the newest word of another gateway. A
-        worker that `is_set_aside` did worse than its fellows and gets no more than trials.
-        `load` is what the worker last said of itself to any gateway, `load_age_s` ago.
+        `median_s` and `p95_s` are latency quantiles in seconds, 0 while unknown. `age_s` is the age
+        of the newest report of another gateway. A worker that `is_ejected` gets probe requests
+        only. `load` is what the worker last reported to any gateway, `load_age_s` ago.
         """
         self.load = load
         self.load_age_s = load_age_s
         self.incarnation = incarnation
-        self.in_hand = in_hand
-        self.usual_s = usual_s
-        self.slow_s = slow_s
+        self.in_flight = in_flight
+        self.median_s = median_s
+        self.p95_s = p95_s
         self.age_s = age_s
-        self.is_set_aside = is_set_aside
+        self.is_ejected = is_ejected
 
 
-class Sight(ABC):
-    """What this node knows of workers, from its own requests and from those of others."""
+class WorkerMonitor(ABC):
+    """Statistics of workers from the requests of this node and of the other gateways."""
 
     @abstractmethod
-    def begun(self, service: str, incarnation: Incarnation) -> None:
-        """Note that a request goes to a worker of a service; `ended` follows."""
+    def record_start(self, service: str, incarnation: Incarnation) -> None:
+        """Record the first attempt of a request at a worker; `record_end` must follow."""
 
     @abstractmethod
-    def ended(self, incarnation: Incarnation, outcome: SeenOutcome, seconds: float) -> None:
-        """Note that a request ended after `seconds` at the worker."""
+    def record_end(
+        self, incarnation: Incarnation, outcome: ObservedOutcome, seconds: float
+    ) -> None:
+        """Record that an attempt ended after `seconds`."""
 
     @abstractmethod
-    def load_told(self, incarnation: Incarnation, load: WorkerLoad) -> None:
-        """Note what a worker says of itself now."""
+    def record_load(self, incarnation: Incarnation, load: WorkerLoad) -> None:
+        """Record the load that a worker reports about itself."""
 
     @abstractmethod
-    def seen(self, incarnation: Incarnation) -> WorkerSeen:
-        """What is known of a worker now; an empty one for a worker that nobody spoke of."""
+    def stats(self, incarnation: Incarnation) -> WorkerStats:
+        """The current statistics of a worker; empty for an unknown worker."""
 
     @abstractmethod
-    def may_try(self, incarnation: Incarnation) -> bool:
-        """Whether a worker that is set aside may get a trial request now; takes the trial."""
+    def may_probe(self, incarnation: Incarnation) -> bool:
+        """Whether a probe request to an ejected worker is due; if so, claims it."""
 
     @abstractmethod
-    def begun_again(self, service: str, incarnation: Incarnation) -> None:
-        """The same as `begun` for a further try of a request."""
+    def record_retry(self, service: str, incarnation: Incarnation) -> None:
+        """Record a retry of a request at a worker; `record_end` must follow."""
 
     @abstractmethod
-    def refused_again(self, service: str) -> None:
-        """Note that a request gets no further try since the budget is spent."""
+    def record_retry_refused(self, service: str) -> None:
+        """Record that a request was not retried because the retry budget is spent."""
 
     @abstractmethod
-    def may_try_again(self, service: str) -> bool:
-        """Whether a further try is within the budget of the service."""
+    def may_retry(self, service: str) -> bool:
+        """Whether the service's retry budget allows a retry."""
 
     @abstractmethod
-    def fellows_slow_s(self, service: str) -> float:
-        """The 95th percentile in seconds that the sound workers of a service have; 0: unknown."""
+    def service_p95_s(self, service: str) -> float:
+        """95th percentile latency in seconds of workers not ejected; 0 while unknown."""
 
     @abstractmethod
-    def fellows_usual_s(self, service: str) -> float:
-        """The median in seconds that the sound workers of a service have; 0: unknown."""
+    def service_median_s(self, service: str) -> float:
+        """Median latency in seconds of the workers not ejected; 0 while unknown."""
 
     @property
     @abstractmethod
-    def is_alone(self) -> bool:
+    def is_isolated(self) -> bool:
         """Whether no other gateway was heard lately, so that only own requests count."""
