--- a/features/steps/hosted_choice_steps.py
+++ b/features/steps/hosted_choice_steps.py
@@ -78,15 +78,15 @@
     context.slow, context.healthy = (
         Worker(name, WorkerEntry("app", f"{name}:1", slots=slots)) for name in ("slow", "healthy")
     )
-    context.monitor = FakeWorkerMonitor()
-    context.loads = WorkerLoads("a", monitor=context.monitor)
+    context.local_monitor = FakeWorkerMonitor()
+    context.loads = WorkerLoads("a", monitor=context.local_monitor)
     set_stats(context, context.slow, 0, 0.04 * factor)
     set_stats(context, context.healthy, count, 0.04)
 
 
 def set_stats(context, worker, in_flight, usual_s):
     one = worker.incarnation
-    context.monitor.stats_by_worker[one] = WorkerStats(
+    context.local_monitor.stats_by_worker[one] = WorkerStats(
         one, in_flight, usual_s, 2 * usual_s, age_s=0.1
     )
 
