--- a/bench/routing_priority.py
+++ b/bench/routing_priority.py
@@ -24,7 +24,7 @@
 )
 
 from bellweir.resources.models import BackendKind, RequestClass
-from bellweir.routing.backend import INTERACTIVE_MEMORY_S
+from bellweir.routing.backend import RECENT_INTERACTIVE_WINDOW_S
 from bellweir.settings.models import RoutingSettings
 
 INTERACTIVE_CALLERS = 6
@@ -123,7 +123,7 @@
         report("no drafts", *without)
         drafts = DraftNode(Path(folder), node.kernel.listeners.peer_address, standins)
         peers["drafts"] = drafts.peer_address()
-        time.sleep(INTERACTIVE_MEMORY_S + SETTLE_S)  # engines count as free of callers again
+        time.sleep(RECENT_INTERACTIVE_WINDOW_S + SETTLE_S)  # engines count as free of callers again
         alone = rate(drafts, SETTLE_S)
         interactive_times(node, SETTLE_S)  # drafts in hand when the callers come must end
         first = drafts.tokens()
--- a/bench/routing_reports.py
+++ b/bench/routing_reports.py
@@ -14,7 +14,7 @@
 from bellweir.routing.backend import Backend, BackendReport
 from bellweir.routing.circuit import Circuit
 from bellweir.routing.messages import PushReports, SubscribeReports
-from bellweir.routing.pool_workers import Location, PoolWorker, subset_of
+from bellweir.routing.pool_workers import Location, PoolWorker, select_subset
 from bellweir.routing.rendezvous import score
 from bellweir.routing.report_publisher import ReportPublisher
 from bellweir.routing.report_subscriber import ReportSubscriber
@@ -82,7 +82,7 @@
         owners = {w.name: max(names, key=lambda node: score(w.name, node)) for w in pool}
         for number, node in enumerate(self.nodes.values()):
             location = Location(node.name, f"zone-{number % ZONES}", "r")
-            for worker in subset_of(pool, location, subset):
+            for worker in select_subset(pool, location, subset):
                 backend = Backend(worker, 0, Circuit(3, 2.0))
                 if owners[worker.name] != node.name:
                     node.by_owner.setdefault(owners[worker.name], []).append(backend)
--- a/bench/routing_subsets.py
+++ b/bench/routing_subsets.py
@@ -12,9 +12,9 @@
 from routing_support import quantile
 
 from bellweir.resources.models import BackendKind
-from bellweir.routing.pool_workers import Location, PoolWorker, subset_of
+from bellweir.routing.pool_workers import Location, PoolWorker, select_subset
 from bellweir.routing.rendezvous import score
-from bellweir.routing.strategies import CANDIDATES
+from bellweir.routing.strategies import SAMPLE_SIZE
 
 ZONES = 8
 
@@ -29,7 +29,7 @@
     ]
     locations = [Location(f"n-{n}", f"zone-{n % ZONES}", "r") for n in range(nodes)]
     subsets = {
-        location.node: {worker.name for worker in subset_of(workers, location, size)}
+        location.node: {worker.name for worker in select_subset(workers, location, size)}
         for location in locations
     }
     report("subsets", subsets, workers, requests)
@@ -52,7 +52,7 @@
     chooser = random.Random(1)
     for _ in range(requests):
         for subset in subsets.values():
-            few = chooser.sample(sorted(subset), min(CANDIDATES, len(subset)))
+            few = chooser.sample(sorted(subset), min(SAMPLE_SIZE, len(subset)))
             loads[min(few, key=lambda name: loads[name])] += 1
     ordered = sorted(map(float, loads.values()))
     mean = sum(ordered) / len(ordered)
--- a/features/steps/routing_choice_steps.py
+++ b/features/steps/routing_choice_steps.py
@@ -22,15 +22,15 @@
     Worker,
 )
 from bellweir.routing.backend import Backend, BackendReport
-from bellweir.routing.cache_events import RESYNC_PERIOD_S, CacheEventReader
+from bellweir.routing.cache_events import MIN_RESYNC_INTERVAL_S, CacheEventReader
 from bellweir.routing.circuit import Circuit
 from bellweir.routing.comparisons import arm_for
-from bellweir.routing.hedging import HEDGED_SHARE, HedgePolicy
+from bellweir.routing.hedging import MAX_HEDGE_RATIO, HedgePolicy
 from bellweir.routing.metrics import RoutingCollector
 from bellweir.routing.pool_table import PoolTable
-from bellweir.routing.pool_workers import Location, PoolWorker, subset_of
+from bellweir.routing.pool_workers import Location, PoolWorker, select_subset
 from bellweir.routing.prefix_index import HASH_MASK, PrefixIndex
-from bellweir.routing.strategies import LOAD_SLACK, PrefixAware
+from bellweir.routing.strategies import MAX_EXCESS_LOAD, PrefixAware
 from bellweir.settings.models import RoutingSettings
 from bellweir_rehearsal.standins.prefix_cache import CacheEventLog, PrefixCache, block_hashes
 from support.routing_cluster import POLICY, body_of
@@ -60,7 +60,7 @@
     @drawn(count=st.integers(1, 90), size=st.integers(1, 30), node=st.integers(0, 9))
     def subsets(count, size, node):
         workers = [_worker(number, ZONES[number % 3]) for number in range(count)]
-        chosen = subset_of(workers, Location(f"node-{node}", "a", "region"), size)
+        chosen = select_subset(workers, Location(f"node-{node}", "a", "region"), size)
         assert len(chosen) == len(set(chosen)) == min(size, count)
         near = sum(worker.zone == "a" for worker in chosen)
         have = sum(worker.zone == "a" for worker in workers)
@@ -78,8 +78,8 @@
     def stable(count, size, gone):
         workers = [_worker(number, ZONES[number % 3]) for number in range(count)]
         location = Location("node", "a", "region")
-        before = set(subset_of(workers, location, size))
-        after = set(subset_of([w for w in workers if w.name != f"w-{gone}"], location, size))
+        before = set(select_subset(workers, location, size))
+        after = set(select_subset([w for w in workers if w.name != f"w-{gone}"], location, size))
         # A near worker that goes may pull in a near one that filled a place elsewhere.
         assert len(before - after) <= 2
         assert len(after - before) <= 2
@@ -183,7 +183,7 @@
         engine, reader, index = CacheEngine(), CacheEventReader(), PrefixIndex()
         now_s, restarted = 0.0, False
         for action, letters in actions:
-            now_s += RESYNC_PERIOD_S
+            now_s += MIN_RESYNC_INTERVAL_S
             if action == "store":
                 prompt = "".join(letter * PREFIX_BLOCK_CHARACTERS for letter in letters)
                 engine.cache.store(block_hashes(prompt))
@@ -207,14 +207,14 @@
         engine.cache.store(block_hashes(str(number) * PREFIX_BLOCK_CHARACTERS * 2))
         _read(reader, engine, index, number * 1.0)
     whole = [number for number, after in enumerate(engine.reads) if after == 0]
-    assert 2 <= len(whole) <= 2 + 40 / RESYNC_PERIOD_S, engine.reads
+    assert 2 <= len(whole) <= 2 + 40 / MIN_RESYNC_INTERVAL_S, engine.reads
 
 
 def _backends(loads):
     backends = []
     for number, load in enumerate(loads):
         backend = Backend(_worker(number, "a"), 0, Circuit(3, 1.0))
-        backend.take_report(BackendReport(True, False, load, 1.0))
+        backend.update_report(BackendReport(True, False, load, 1.0))
         backends.append(backend)
     return backends
 
@@ -241,9 +241,9 @@
         prompt = "x" * 500
         index.add(backends[held % len(backends)].key, [b & HASH_MASK for b in block_hashes(prompt)])
         chosen = strategy.choose(backends, prompt)
-        assert chosen.load() <= min(loads) + LOAD_SLACK
+        assert chosen.load() <= min(loads) + MAX_EXCESS_LOAD
         holder = backends[held % len(backends)]
-        if holder.load() <= min(loads) + LOAD_SLACK:
+        if holder.load() <= min(loads) + MAX_EXCESS_LOAD:
             assert chosen is holder
 
     bounded()
@@ -290,9 +290,9 @@
         policy, chooser = HedgePolicy(), random.Random(seed)
         hedges = 0
         for _ in range(count):
-            policy.sample(chooser.random())
+            policy.record_latency(chooser.random())
             hedges += chooser.random() < 0.5 and policy.withdraw()
-        assert hedges <= 1 + HEDGED_SHARE * count
+        assert hedges <= 1 + MAX_HEDGE_RATIO * count
 
     bounded()
 
--- a/features/steps/routing_limits_steps.py
+++ b/features/steps/routing_limits_steps.py
@@ -10,8 +10,8 @@
 
 from bellweir.kernel.clock import SystemClock
 from bellweir.resources.models import ClassLimits, RequestClass
-from bellweir.routing.adaptive_limit import LOWEST_SHARE, AdaptiveLimit
-from bellweir.routing.admission import ClassGate
+from bellweir.routing.adaptive_limit import MIN_LIMIT_SHARE, AdaptiveLimit
+from bellweir.routing.class_gate import ClassGate
 from bellweir.routing.fair_queue import FairQueue
 from bellweir.routing.interface import RefusalReason, RunState
 from support.routing_claims import OffsetClock
@@ -144,8 +144,8 @@
     def bounded(latencies, maximum):
         limit = AdaptiveLimit(maximum, 0.0)
         for number, latency_s in enumerate(latencies):
-            limit.sample(latency_s, limit.value, 0.05 * number)
-            assert max(1, int(maximum * LOWEST_SHARE)) <= limit.value <= maximum
+            limit.record_latency(latency_s, limit.value, 0.05 * number)
+            assert max(1, int(maximum * MIN_LIMIT_SHARE)) <= limit.value <= maximum
 
     bounded()
 
@@ -159,7 +159,7 @@
         nonlocal now_s
         for _ in range(windows * 10):
             now_s += 0.02
-            limit.sample(latency_s, limit.value, now_s)
+            limit.record_latency(latency_s, limit.value, now_s)
         return limit.value
 
     assert run(0.010, 20) == 64
--- a/features/steps/routing_reports_steps.py
+++ b/features/steps/routing_reports_steps.py
@@ -166,8 +166,8 @@
 def step_uses(context, node, name, seconds):
     backend = context.cluster.nodes[node].backend_views._table.by_key()[f"shop/{name}"]
     now_s = context.cluster.clock.monotonic_s()
-    backend.start_request(now_s, interactive=True)
-    backend.finish_request(now_s, True)
+    backend.record_start(now_s, interactive=True)
+    backend.record_end(now_s, True)
     _tick(context, range(NODES), seconds)
 
 
@@ -175,7 +175,7 @@
 def step_know_use(context, name):
     for node in context.cluster.nodes:
         backend = node.backend_views._table.by_key()[f"shop/{name}"]
-        used = backend.used_by_callers(context.cluster.clock.monotonic_s())
+        used = backend.has_recent_interactive_request(context.cluster.clock.monotonic_s())
         assert used or backend.report.interactive > 0, backend.report
 
 
--- a/features/steps/routing_stream_steps.py
+++ b/features/steps/routing_stream_steps.py
@@ -115,8 +115,8 @@
     for pool in context.node.backend_views.pools().values():
         for backend in pool.backends:
             for _ in range(3):
-                backend.start_request(time.monotonic())
-                backend.finish_request(time.monotonic(), False)
+                backend.record_start(time.monotonic())
+                backend.record_end(time.monotonic(), False)
             assert not backend.permits(time.monotonic())
     for application in context.cluster.applications:
         application.faults = []
--- a/features/support/routing_once_setting.py
+++ b/features/support/routing_once_setting.py
@@ -120,5 +120,5 @@
     for pool in views.pools().values():
         for backend in pool.backends:
             views._probe(backend.worker)
-            backend._leaving_said = False
-            backend._circuit.on_success()
+            backend._leaving_announced = False
+            backend._circuit.record_success()
--- a/src/bellweir/routing/adaptive_limit.py
+++ b/src/bellweir/routing/adaptive_limit.py
@@ -21,7 +21,7 @@
 """The slow average shrinks by this when it is above twice the window's: after a slow period."""
 WINDOW_SAMPLES = 10
 WINDOW_S = 0.1
-LOWEST_SHARE = 1 / 8
+MIN_LIMIT_SHARE = 1 / 8
 """The limit never falls below this share of its maximum, so that a shift of the work from short
 to long requests does not starve a pool while the averages follow."""
 
@@ -50,7 +50,7 @@
             self._maximum = maximum
             self._limit = min(self._limit, float(maximum))
 
-    def sample(self, latency_s: float, running: int, now_s: float) -> None:
+    def record_latency(self, latency_s: float, running: int, now_s: float) -> None:
         """Take the latency of one request, and the requests running when it ended."""
         with self._lock:
             self._window_sum_s += latency_s
@@ -73,7 +73,7 @@
         gradient = max(LOWEST_GRADIENT, min(1.0, TOLERANCE * slow_s / max(mean_s, 1e-6)))
         estimate = self._limit * gradient + QUEUE_ALLOWANCE
         smoothed = self._limit * (1.0 - SMOOTHING) + estimate * SMOOTHING
-        lowest = max(1.0, self._maximum * LOWEST_SHARE)
+        lowest = max(1.0, self._maximum * MIN_LIMIT_SHARE)
         self._limit = max(lowest, min(float(self._maximum), smoothed))
 
     def _follow(self, mean_s: float) -> float:
--- a/src/bellweir/routing/admissions.py
+++ b/src/bellweir/routing/admitted_requests.py
@@ -7,8 +7,8 @@
 
 from bellweir.kernel.clock import Clock
 from bellweir.resources.models import RequestClass
-from bellweir.routing.admission import Permit
 from bellweir.routing.attempts import RETRY_AFTER_S
+from bellweir.routing.class_gate import Permit
 from bellweir.routing.interface import Refusal, RefusalReason, RunState
 from bellweir.routing.pool_runtime import PoolRuntime
 
@@ -21,7 +21,7 @@
     deadline_s: float
 
 
-class Admissions:
+class AdmittedRequests:
     """Counts the requests in hand; thread-safe."""
 
     def __init__(self, clock: Clock) -> None:
--- a/src/bellweir/routing/application_requests.py
+++ b/src/bellweir/routing/application_requests.py
@@ -6,7 +6,7 @@
 from bellweir.configuration.interface import Configuration
 from bellweir.kernel.clock import Clock
 from bellweir.resources.models import BackendKind, RequestClass
-from bellweir.routing.admissions import Admission, Admissions, not_configured, not_run
+from bellweir.routing.admitted_requests import Admission, AdmittedRequests, not_configured, not_run
 from bellweir.routing.answers import HeldBody, with_body
 from bellweir.routing.counters import COMPLETED, CUT, DispatchCounters
 from bellweir.routing.forwarding import Forwarder, class_of, is_repeatable
@@ -28,7 +28,7 @@
     def __init__(
         self,
         configuration: Configuration,
-        admissions: Admissions,
+        admissions: AdmittedRequests,
         runtimes: PoolRuntimes,
         forwarder: Forwarder,
         hedger: Hedger,
@@ -101,7 +101,7 @@
             runtime,
             deadline_s,
             repeatable=is_repeatable(request, kind, runtime.pool),
-            on_latency=runtime.gates[kind].note_latency,
+            on_latency=runtime.gates[kind].record_latency,
         )
 
     def _send_once(
@@ -117,7 +117,7 @@
                 runtime,
                 deadline_s,
                 repeatable=False,
-                on_latency=runtime.gates[RequestClass.ONCE].note_latency,
+                on_latency=runtime.gates[RequestClass.ONCE].record_latency,
                 before_send=check,
             ),
         )
@@ -137,7 +137,7 @@
                 runtime,
                 deadline_s,
                 repeatable=True,
-                on_latency=gate.note_latency,
+                on_latency=gate.record_latency,
                 used=used,
             )
 
@@ -152,7 +152,7 @@
                 return Failure(not_run(RefusalReason.INVALID, f"body: {failure}", None))
             answered = self._hedger.run(attempt, runtime.hedging, delay_s)
         if isinstance(answered, Success):
-            runtime.hedging.sample(self._clock.monotonic_s() - began_s)
+            runtime.hedging.record_latency(self._clock.monotonic_s() - began_s)
         return answered
 
     def _held(self, answer: ApplicationAnswer, admission: Admission) -> ApplicationAnswer:
--- a/src/bellweir/routing/attempts.py
+++ b/src/bellweir/routing/attempts.py
@@ -44,11 +44,11 @@
         self._clock = clock
         self._ended = False
         self._lock = threading.Lock()
-        backend.start_request(clock.monotonic_s(), interactive=interactive)
+        backend.record_start(clock.monotonic_s(), interactive=interactive)
 
     def note_healthy(self) -> None:
         """Note that the back end has begun to answer."""
-        self.backend.note_healthy()
+        self.backend.record_healthy()
 
     def succeed(self) -> None:
         """End it; the back end has proved healthy."""
@@ -92,7 +92,7 @@
             if self._ended:
                 return
             self._ended = True
-        self.backend.finish_request(self._clock.monotonic_s(), healthy, detail)
+        self.backend.record_end(self._clock.monotonic_s(), healthy, detail)
 
 
 class RequestAttempts:
@@ -161,7 +161,7 @@
         if self._waiting_since_s is None:
             self._waiting_since_s = now_s
         until_s = min(self._waiting_since_s + PATIENCE_S, self._deadline_s)
-        if now_s >= until_s or not any(backend.may_return() for backend in backends):
+        if now_s >= until_s or not any(backend.may_recover() for backend in backends):
             return False
         self._clock.wait(threading.Event(), PATIENCE_POLL_S)
         return True
--- a/src/bellweir/routing/backend.py
+++ b/src/bellweir/routing/backend.py
@@ -15,7 +15,7 @@
 DRAFT_SPACING_S = 0.025
 """Drafts of one node start this far apart on an engine that callers use too: the prompts of many
 at once would fill a step of the batch that a caller waits for."""
-INTERACTIVE_MEMORY_S = 10.0
+RECENT_INTERACTIVE_WINDOW_S = 10.0
 """Drafts keep out of a share of an engine's batch for this long after a caller's request."""
 LEAVING_KEPT_S = 5.0
 """A back end's own word that it leaves outlasts reports that were late for this long."""
@@ -60,9 +60,9 @@
         self._in_flight = 0
         self._in_flight_at_report = 0
         self._history: deque[tuple[float, int]] = deque(maxlen=HISTORY_ENTRIES)
-        self._leaving_said = False
-        self._leaving_said_s = 0.0
-        self._interactive_s = -INTERACTIVE_MEMORY_S
+        self._leaving_announced = False
+        self._leaving_announced_s = 0.0
+        self._interactive_s = -RECENT_INTERACTIVE_WINDOW_S
         self._draft_s = 0.0
 
     @property
@@ -85,7 +85,7 @@
         """Whether anyone has said that it leaves: operator, machine list or itself."""
         report = self._report
         reported = report is not None and report.leaving
-        return self._worker.leaving or self._leaving_said or reported
+        return self._worker.leaving or self._leaving_announced or reported
 
     def reconfigure(self, worker: PoolWorker, distance: int) -> None:
         """Take over a changed configuration of the same worker at the same address."""
@@ -117,7 +117,7 @@
         corrected = report.load + self._in_flight - self._in_flight_at_report
         return max(corrected, self._in_flight)
 
-    def take_report(self, report: BackendReport) -> bool:
+    def update_report(self, report: BackendReport) -> bool:
         """Take a report unless a newer one is held; return whether it was taken."""
         with self._lock:
             held = self._report
@@ -125,8 +125,8 @@
                 return False
             if report.leaving and not self.leaving:
                 emit(BACKEND_LEAVING, worker=self.name, source="report")
-            if report.made_s > self._leaving_said_s + LEAVING_KEPT_S:
-                self._leaving_said = False
+            if report.made_s > self._leaving_announced_s + LEAVING_KEPT_S:
+                self._leaving_announced = False
             self._in_flight_at_report = self._in_flight_at(report.made_s)
             self._report = report
             return True
@@ -147,7 +147,7 @@
             if held is not None and held.made_s <= now_s:
                 self._report = replace(held, ready=False, made_s=now_s)
 
-    def may_return(self) -> bool:
+    def may_recover(self) -> bool:
         """Whether it may serve again within a moment: it answers, but is not ready."""
         report = self._report
         if self.leaving:
@@ -158,16 +158,16 @@
         """Note that the back end itself has said that it leaves."""
         if not self.leaving:
             emit(BACKEND_LEAVING, worker=self.name, source=source)
-        self._leaving_said_s = now_s
-        self._leaving_said = True
+        self._leaving_announced_s = now_s
+        self._leaving_announced = True
 
     @property
-    def queues(self) -> bool:
+    def is_queueing(self) -> bool:
         """Whether an engine has more requests than it runs at once."""
         report = self._report
         return report is not None and 0 < report.maximum_batch < self.load()
 
-    def has_draft_room(self, draft_share: float, now_s: float) -> bool:
+    def has_draft_capacity(self, draft_share: float, now_s: float) -> bool:
         """Whether an engine may take another draft.
 
         While callers use the engine too, drafts fill only a share of its batch: each sequence
@@ -177,17 +177,17 @@
         if report is None or report.maximum_batch == 0:
             return True
         room = report.maximum_batch
-        if report.interactive or self.used_by_callers(now_s):
+        if report.interactive or self.has_recent_interactive_request(now_s):
             if now_s - self._draft_s < DRAFT_SPACING_S:
                 return False
             room = max(1, int(room * draft_share))
         return self.load() < room
 
-    def used_by_callers(self, now_s: float) -> bool:
+    def has_recent_interactive_request(self, now_s: float) -> bool:
         """Whether this node lately had a request on it that a caller waits for."""
-        return now_s - self._interactive_s < INTERACTIVE_MEMORY_S
+        return now_s - self._interactive_s < RECENT_INTERACTIVE_WINDOW_S
 
-    def wants_probe(self, now_s: float, stale_s: float) -> bool:
+    def needs_probe(self, now_s: float, stale_s: float) -> bool:
         """Whether its owner's reports do not do: none, too old, or of a failure.
 
         A back end that somebody could not reach is looked at directly as well: the fault may
@@ -196,7 +196,7 @@
         report = self._report
         return report is None or not report.reachable or now_s - report.made_s > stale_s
 
-    def start_request(self, now_s: float, *, interactive: bool = False) -> None:
+    def record_start(self, now_s: float, *, interactive: bool = False) -> None:
         """Count a request that is about to be sent; `interactive` when a caller waits for it."""
         with self._lock:
             if interactive:
@@ -205,27 +205,27 @@
                 self._draft_s = now_s
             self._in_flight += 1
             self._history.append((now_s, self._in_flight))
-            self._circuit.on_start(now_s)
+            self._circuit.record_start(now_s)
 
-    def note_healthy(self) -> None:
+    def record_healthy(self) -> None:
         """Note that it has begun to answer; a long stream need not end to prove it."""
         with self._lock:
-            closed = self._circuit.on_success()
+            closed = self._circuit.record_success()
         if closed:
             emit(CIRCUIT_CLOSED, worker=self.name)
 
-    def finish_request(self, now_s: float, healthy: bool | None, detail: str = "") -> None:
+    def record_end(self, now_s: float, healthy: bool | None, detail: str = "") -> None:
         """Count the end of a request; `healthy` None tells nothing of the back end's health."""
         opened = closed = False
         with self._lock:
             self._in_flight -= 1
             self._history.append((now_s, self._in_flight))
             if healthy is None:
-                self._circuit.on_abandoned()
+                self._circuit.record_abandoned()
             elif healthy:
-                closed = self._circuit.on_success()
+                closed = self._circuit.record_success()
             else:
-                opened = self._circuit.on_failure(now_s)
+                opened = self._circuit.record_failure(now_s)
         if opened:
             emit(CIRCUIT_OPENED, worker=self.name, detail=detail)
         if closed:
--- a/src/bellweir/routing/cache_events.py
+++ b/src/bellweir/routing/cache_events.py
@@ -7,7 +7,7 @@
 from bellweir.clients.interface import CacheEventBatch, Engine
 from bellweir.routing.prefix_index import HASH_MASK
 
-RESYNC_PERIOD_S = 10.0
+MIN_RESYNC_INTERVAL_S = 10.0
 """An engine whose events have gaps is read from its oldest kept event at most this often; in
 between what has come is taken as it is."""
 
@@ -43,7 +43,7 @@
         return None
 
     def _may_resync(self, now_s: float) -> bool:
-        return self._resynced_s is None or now_s - self._resynced_s >= RESYNC_PERIOD_S
+        return self._resynced_s is None or now_s - self._resynced_s >= MIN_RESYNC_INTERVAL_S
 
     def _change(self, batch: CacheEventBatch, *, reset: bool) -> PrefixChange | None:
         self._after = batch.next_sequence - 1
--- a/src/bellweir/routing/circuit.py
+++ b/src/bellweir/routing/circuit.py
@@ -35,14 +35,14 @@
             return now_s >= self._open_until_s
         return not self._trial_running
 
-    def on_start(self, now_s: float) -> None:
+    def record_start(self, now_s: float) -> None:
         """Note the start of a request; the first one after the open time is the trial."""
         if self.state is CircuitState.OPEN and now_s >= self._open_until_s:
             self.state = CircuitState.HALF_OPEN
         if self.state is CircuitState.HALF_OPEN:
             self._trial_running = True
 
-    def on_success(self) -> bool:
+    def record_success(self) -> bool:
         """Close the circuit; return whether it was not closed before."""
         was_closed = self.state is CircuitState.CLOSED
         self.state = CircuitState.CLOSED
@@ -51,7 +51,7 @@
         self._trial_running = False
         return not was_closed
 
-    def on_failure(self, now_s: float) -> bool:
+    def record_failure(self, now_s: float) -> bool:
         """Count a failure; return whether it opened a closed circuit."""
         self._failures += 1
         was_closed = self.state is CircuitState.CLOSED
@@ -63,6 +63,6 @@
         self._open_until_s = now_s + self._open_s * (1.0 + random.random() * OPEN_JITTER)
         return was_closed
 
-    def on_abandoned(self) -> None:
+    def record_abandoned(self) -> None:
         """Note a request that ended without telling anything of the back end's health."""
         self._trial_running = False
--- a/src/bellweir/routing/admission.py
+++ b/src/bellweir/routing/class_gate.py
@@ -100,9 +100,9 @@
         """Requests that may run at once, as adapted to the latency seen."""
         return self._limit.value
 
-    def note_latency(self, latency_s: float) -> None:
+    def record_latency(self, latency_s: float) -> None:
         """Take the time that a back end took to answer, or to give the first token."""
-        self._limit.sample(latency_s, self._running, self._clock.monotonic_s())
+        self._limit.record_latency(latency_s, self._running, self._clock.monotonic_s())
 
     def enter(self, caller: str, deadline_s: float) -> Result[Permit, Refusal]:
         """Wait for a place until the deadline, or refuse at once what cannot be served."""
--- a/src/bellweir/routing/draft_room.py
+++ b/src/bellweir/routing/draft_waiters.py
@@ -12,7 +12,7 @@
 threads to requests that callers wait for."""
 
 
-class DraftRoom:
+class DraftWaiters:
     """Counts the drafts of one pool that wait for room; thread-safe."""
 
     def __init__(self, clock: Clock) -> None:
@@ -20,7 +20,7 @@
         self._lock = threading.Lock()
         self._waiting = 0
 
-    def wait_a_little(self, began_s: float, deadline_s: float) -> bool:
+    def wait_before_recheck(self, began_s: float, deadline_s: float) -> bool:
         """Wait until it is worth looking again; False when this draft has to be refused."""
         if self._clock.monotonic_s() >= min(deadline_s, began_s + ROOM_WAIT_S):
             return False
--- a/src/bellweir/routing/forwarding.py
+++ b/src/bellweir/routing/forwarding.py
@@ -122,7 +122,7 @@
                 case Success(answer):
                     now_s = self._clock.monotonic_s()
                     on_latency(now_s - began_s)
-                    runtime.budget.on_success(now_s)
+                    runtime.budget.record_success(now_s)
                     return Success(answer)
                 case Failure(error):
                     attempts.note_failure(backend, error)
--- a/src/bellweir/routing/generation.py
+++ b/src/bellweir/routing/generation.py
@@ -220,7 +220,7 @@
             return silence_s >= UNREACHABLE_SILENCE_S
         if self._attempt_tokens:
             return silence_s >= limits.next_token_s
-        if attempt.hold.backend.queues:
+        if attempt.hold.backend.is_queueing:
             limits = DRAFT_SILENCE  # waiting for a place is no silence
         return silence_s >= limits.first_token_s
 
--- a/src/bellweir/routing/generation_attempt.py
+++ b/src/bellweir/routing/generation_attempt.py
@@ -118,8 +118,8 @@
     ) -> bool:
         """Wait a little for room or for a back end; False when this request has to be refused."""
         if attempts.lacks_room:
-            room = self._runtimes.of(self.pools_of(route.policy)[0]).draft_room
-            return room.wait_a_little(began_s, deadline_s)
+            room = self._runtimes.of(self.pools_of(route.policy)[0]).draft_waiters
+            return room.wait_before_recheck(began_s, deadline_s)
         return attempts.wait_for_backend(self._backends_of(route.policy))
 
     def _start_once(
@@ -200,7 +200,7 @@
         self, usable: list[Backend], now_s: float, attempts: RequestAttempts
     ) -> list[Backend]:
         share = self._draft_share
-        roomy = [backend for backend in usable if backend.has_draft_room(share, now_s)]
+        roomy = [backend for backend in usable if backend.has_draft_capacity(share, now_s)]
         if not roomy:
             attempts.note_no_room()
         return roomy
--- a/src/bellweir/routing/generation_requests.py
+++ b/src/bellweir/routing/generation_requests.py
@@ -4,7 +4,7 @@
 
 from bellweir.configuration.interface import Configuration, ConfigurationSnapshot
 from bellweir.kernel.clock import Clock
-from bellweir.routing.admissions import Admission, Admissions, not_configured, not_run
+from bellweir.routing.admitted_requests import Admission, AdmittedRequests, not_configured, not_run
 from bellweir.routing.arm_counters import ArmCounters, ArmName
 from bellweir.routing.attempts import RETRY_AFTER_S, RequestAttempts
 from bellweir.routing.comparisons import arm_for, comparison_of
@@ -26,7 +26,7 @@
     def __init__(
         self,
         configuration: Configuration,
-        admissions: Admissions,
+        admissions: AdmittedRequests,
         runtimes: PoolRuntimes,
         starter: GenerationStarter,
         watch: StreamWatch,
@@ -100,7 +100,7 @@
         first: RunningAttempt,
         began_s: float,
     ) -> RoutedGeneration:
-        note_latency = runtime.gates[request.request_class].note_latency
+        note_latency = runtime.gates[request.request_class].record_latency
         if route.arm is not None:
             self._arms.count_start(route.arm)
 
@@ -117,7 +117,7 @@
                 took_s = self._clock.monotonic_s() - began_s
                 self._arms.count_end(route.arm, outcome, generation.token_count, took_s)
             if outcome == COMPLETED:
-                runtime.budget.on_success(self._clock.monotonic_s())
+                runtime.budget.record_success(self._clock.monotonic_s())
             self._admissions.end(admission)
 
         generation = RoutedGeneration(
--- a/src/bellweir/routing/hedging.py
+++ b/src/bellweir/routing/hedging.py
@@ -18,7 +18,7 @@
 from bellweir.routing.interface import Refusal
 
 HEDGED_QUANTILE = 0.95
-HEDGED_SHARE = 0.05
+MAX_HEDGE_RATIO = 0.05
 """Hedges for each request, on average."""
 MOST_SAVED_HEDGES = 5.0
 WINDOW_SAMPLES = 256
@@ -46,12 +46,12 @@
         """Time after which a request is slow; None while that is not known."""
         return self._delay_s
 
-    def sample(self, latency_s: float) -> None:
+    def record_latency(self, latency_s: float) -> None:
         """Take the latency of one request; it also pays for a share of a hedge."""
         with self._lock:
             self._latencies_s.append(latency_s)
             self._samples += 1
-            self._saved = min(MOST_SAVED_HEDGES, self._saved + HEDGED_SHARE)
+            self._saved = min(MOST_SAVED_HEDGES, self._saved + MAX_HEDGE_RATIO)
             if self._samples % FEWEST_SAMPLES == 0:
                 ordered = sorted(self._latencies_s)
                 slow_s = ordered[int(HEDGED_QUANTILE * len(ordered))]
--- a/src/bellweir/routing/pool_runtime.py
+++ b/src/bellweir/routing/pool_runtime.py
@@ -4,8 +4,8 @@
 
 from bellweir.kernel.clock import Clock
 from bellweir.resources.models import BackendKind, ClassLimits, Pool, RequestClass
-from bellweir.routing.admission import APPLICATION_DRAFT_LIMITS, DEFAULT_CLASS_LIMITS, ClassGate
-from bellweir.routing.draft_room import DraftRoom
+from bellweir.routing.class_gate import APPLICATION_DRAFT_LIMITS, DEFAULT_CLASS_LIMITS, ClassGate
+from bellweir.routing.draft_waiters import DraftWaiters
 from bellweir.routing.hedging import HedgePolicy
 from bellweir.routing.prefix_index import PrefixIndex
 from bellweir.routing.retry_budget import RetryBudget
@@ -21,8 +21,8 @@
         self.strategy = make_strategy(pool.spec.strategy, index)
         self.budget = RetryBudget(pool.spec.retry_budget, clock.monotonic_s())
         self.hedging = HedgePolicy()
-        self.draft_room = DraftRoom(clock)
-        self.gates = {kind: ClassGate(limits_of(pool, kind), clock) for kind in RequestClass}
+        self.draft_waiters = DraftWaiters(clock)
+        self.gates = {kind: ClassGate(class_limits(pool, kind), clock) for kind in RequestClass}
 
     def reconfigure(self, pool: Pool) -> None:
         """Take over a changed spec; requests in hand keep their places."""
@@ -30,7 +30,7 @@
             self.strategy = make_strategy(pool.spec.strategy, self._index)
         self.budget.ratio = pool.spec.retry_budget
         for kind, gate in self.gates.items():
-            gate.reconfigure(limits_of(pool, kind))
+            gate.reconfigure(class_limits(pool, kind))
         self.pool = pool
 
 
@@ -64,7 +64,7 @@
             return runtime
 
 
-def limits_of(pool: Pool, kind: RequestClass) -> ClassLimits:
+def class_limits(pool: Pool, kind: RequestClass) -> ClassLimits:
     """The pool's limits of a class, or the default ones."""
     named = pool.spec.limits.get(kind)
     if named is not None:
--- a/src/bellweir/routing/pool_table.py
+++ b/src/bellweir/routing/pool_table.py
@@ -9,7 +9,7 @@
 from bellweir.resources.models import Pool
 from bellweir.routing.backend import Backend
 from bellweir.routing.circuit import Circuit
-from bellweir.routing.pool_workers import Location, PoolWorker, subset_of, workers_of
+from bellweir.routing.pool_workers import Location, PoolWorker, select_subset, workers_of_pool
 from bellweir.settings.models import RoutingSettings
 
 
@@ -99,8 +99,8 @@
         before = self._drawn.get(name)
         if before is not None and before.pool is pool and before.machines is machines:
             return before
-        workers = workers_of(pool, machines)
-        subset = subset_of(workers, self._location, pool.spec.subset_size)
+        workers = workers_of_pool(pool, machines)
+        subset = select_subset(workers, self._location, pool.spec.subset_size)
         names = {worker.name for worker in subset}
         others = tuple(
             worker for worker in workers if worker.name not in names and not worker.leaving
--- a/src/bellweir/routing/pool_workers.py
+++ b/src/bellweir/routing/pool_workers.py
@@ -50,7 +50,7 @@
         return SAME_REGION if region == self.region else OTHER_REGION
 
 
-def workers_of(pool: Pool, machines: Mapping[str, Machine]) -> tuple[PoolWorker, ...]:
+def workers_of_pool(pool: Pool, machines: Mapping[str, Machine]) -> tuple[PoolWorker, ...]:
     """All workers of a pool, sorted by name; the spec goes before the machine list."""
     found: dict[str, PoolWorker] = {}
     if pool.spec.from_machine_list:
@@ -84,7 +84,7 @@
     )
 
 
-def subset_of(
+def select_subset(
     workers: Iterable[PoolWorker], location: Location, size: int
 ) -> tuple[PoolWorker, ...]:
     """At most `size` workers that do not leave: most of them near, some of them elsewhere."""
--- a/src/bellweir/routing/prefix_hints.py
+++ b/src/bellweir/routing/prefix_hints.py
@@ -40,15 +40,15 @@
             for address in subscribers:
                 self._send(address, message)
 
-    def take(self, message: PushPrefixes) -> None:
+    def apply_message(self, message: PushPrefixes) -> None:
         """Take an owner's hints."""
         added, removed = _unpack(message.added), _unpack(message.removed)
         self._apply(message.worker, message.reset, added, removed)
 
-    def keep_only(self, routed: set[str], known: set[str]) -> None:
+    def retain(self, routed: set[str], known: set[str]) -> None:
         """Forget hints of engines not routed over, and readers of engines that are gone."""
         self._routed = routed
-        self.index.keep_only(routed)
+        self.index.retain(routed)
         with self._lock:
             self._readers = {name: found for name, found in self._readers.items() if name in known}
 
--- a/src/bellweir/routing/prefix_index.py
+++ b/src/bellweir/routing/prefix_index.py
@@ -38,10 +38,10 @@
         self._lock = threading.Lock()
         self._held: dict[str, OrderedDict[int, None]] = {}
 
-    def matched(self, workers: Sequence[str], blocks: Sequence[int]) -> list[int]:
+    def count_matched_blocks(self, workers: Sequence[str], blocks: Sequence[int]) -> list[int]:
         """For each engine the number of the prompt's leading blocks it is thought to hold."""
         with self._lock:
-            return [self._matched(worker, blocks) for worker in workers]
+            return [self._count_matched(worker, blocks) for worker in workers]
 
     def add(self, worker: str, blocks: Iterable[int]) -> None:
         """Note blocks as held, those of a prompt first to last."""
@@ -67,12 +67,12 @@
         with self._lock:
             self._held.pop(worker, None)
 
-    def keep_only(self, workers: set[str]) -> None:
+    def retain(self, workers: set[str]) -> None:
         """Forget engines that are no longer routed over."""
         with self._lock:
             self._held = {name: held for name, held in self._held.items() if name in workers}
 
-    def _matched(self, worker: str, blocks: Sequence[int]) -> int:
+    def _count_matched(self, worker: str, blocks: Sequence[int]) -> int:
         held = self._held.get(worker)
         if held is None:
             return 0
--- a/src/bellweir/routing/report_subscriber.py
+++ b/src/bellweir/routing/report_subscriber.py
@@ -87,7 +87,9 @@
 
     def _message(self, backends: list[Backend], now_s: float) -> SubscribeReports:
         keys = [backend.key for backend in backends]
-        interactive = [backend.key for backend in backends if backend.used_by_callers(now_s)]
+        interactive = [
+            backend.key for backend in backends if backend.has_recent_interactive_request(now_s)
+        ]
         fresh = [key for key in keys if key in self._state.fresh]
         return SubscribeReports(tuple(keys), tuple(interactive), tuple(fresh))
 
--- a/src/bellweir/routing/retry_budget.py
+++ b/src/bellweir/routing/retry_budget.py
@@ -24,7 +24,7 @@
         self._refilled_s = now_s
         self._lock = threading.Lock()
 
-    def on_success(self, now_s: float) -> None:
+    def record_success(self, now_s: float) -> None:
         """Pay in the share of one success."""
         with self._lock:
             self._decay(now_s)
--- a/src/bellweir/routing/service.py
+++ b/src/bellweir/routing/service.py
@@ -15,7 +15,7 @@
 from bellweir.ledger.interface import Claims
 from bellweir.membership.interface import Membership
 from bellweir.resources.interface import Resources
-from bellweir.routing.admissions import Admissions
+from bellweir.routing.admitted_requests import AdmittedRequests
 from bellweir.routing.application_requests import ApplicationRequests
 from bellweir.routing.arm_counters import ArmCounters
 from bellweir.routing.arm_reports import ArmReports
@@ -71,7 +71,7 @@
         self._arms = ArmCounters()
         self._watch = StreamWatch()
         self._recorder = OutcomeRecorder(kernel.clock)
-        self._admissions = Admissions(kernel.clock)
+        self._admissions = AdmittedRequests(kernel.clock)
         self._runtimes: PoolRuntimes
         self._generations: GenerationRequests
         self._applications: ApplicationRequests
--- a/src/bellweir/routing/strategies.py
+++ b/src/bellweir/routing/strategies.py
@@ -10,7 +10,7 @@
 from bellweir.routing.prefix_index import PrefixIndex, prompt_blocks
 from bellweir.routing.rendezvous import score
 
-CANDIDATES = 3
+SAMPLE_SIZE = 3
 """Back ends compared for one request in large subsets. Comparing all of them sends every node
 to the same one while reports are late; two or three random ones do not (Mitzenmacher 2000,
 "How Useful Is Old Information?")."""
@@ -19,7 +19,7 @@
 DISTANCE_COST = {SAME_ZONE: 0.0, SAME_REGION: 0.5, OTHER_REGION: 4.0}
 """Cost of distance, in requests outstanding."""
 
-LOAD_SLACK = 8.0
+MAX_EXCESS_LOAD = 8.0
 """Requests that an engine may have more than the least loaded one and still be chosen for what
 it holds: a prefill saved is worth a short wait, not a hot spot."""
 
@@ -52,11 +52,11 @@
 
 
 class PrefixAware(Strategy):
-    """The engine thought to hold most of the prompt's start, unless it is much busier.
+    """Prefers the engine with the longest cached prefix of the prompt, unless it is much busier.
 
-    Engines within `LOAD_SLACK` requests of the least loaded one compete by matched blocks. Ties,
-    such as a start that nobody holds, go by rendezvous hash of the first block, so that all
-    nodes bring one prefix to one engine without asking each other.
+    Engines within `MAX_EXCESS_LOAD` requests of the least loaded one compete by matched blocks.
+    Ties, such as a prefix that no engine holds, are broken by rendezvous hash of the first block,
+    so that all nodes send one prefix to the same engine without coordination.
     """
 
     def __init__(self, index: PrefixIndex) -> None:
@@ -68,9 +68,9 @@
         if not blocks:
             return min(sample(usable), key=lambda backend: (cost(backend), random.random()))
         costs = [cost(backend) for backend in usable]
-        bound = min(costs) + LOAD_SLACK
+        bound = min(costs) + MAX_EXCESS_LOAD
         eligible = [backend for backend, load in zip(usable, costs, strict=True) if load <= bound]
-        matched = self._index.matched([backend.key for backend in eligible], blocks)
+        matched = self._index.count_matched_blocks([backend.key for backend in eligible], blocks)
         first = str(blocks[0])
         chosen = max(
             zip(matched, eligible, strict=True),
@@ -84,7 +84,7 @@
     """The candidates to compare."""
     if len(usable) <= COMPARE_ALL_UP_TO:
         return usable
-    return random.sample(usable, CANDIDATES)
+    return random.sample(usable, SAMPLE_SIZE)
 
 
 def cost(backend: Backend) -> float:
--- a/src/bellweir/routing/views_service.py
+++ b/src/bellweir/routing/views_service.py
@@ -22,7 +22,7 @@
 from bellweir.routing.interface import BackendView, BackendViews
 from bellweir.routing.messages import PushPrefixes, PushReports, SubscribeReports
 from bellweir.routing.pool_table import PoolBackends, PoolTable
-from bellweir.routing.pool_workers import Location, PoolWorker, workers_of
+from bellweir.routing.pool_workers import Location, PoolWorker, workers_of_pool
 from bellweir.routing.prefix_hints import PrefixHints
 from bellweir.routing.probing import probe
 from bellweir.routing.report_publisher import HEARTBEAT_S, ReportPublisher
@@ -101,11 +101,11 @@
         self._workers = {
             worker.key: worker
             for pool in snapshot.pools.values()
-            for worker in workers_of(pool, snapshot.machines)
+            for worker in workers_of_pool(pool, snapshot.machines)
         }
         routed = set(self._table.by_key())
         self._subscriber.forget_all_but(routed)
-        self.prefixes.keep_only(routed, set(self._workers))
+        self.prefixes.retain(routed, set(self._workers))
         self._prefix_pools = {
             name
             for name, pool in snapshot.pools.items()
@@ -121,10 +121,10 @@
         for key, report in self._subscriber.take(message, self._now_s()):
             backend = backends.get(key)
             if backend is not None:
-                backend.take_report(report)
+                backend.update_report(report)
 
     def _on_prefixes(self, _sender: Sender, message: PushPrefixes) -> None:
-        self.prefixes.take(message)
+        self.prefixes.apply_message(message)
 
     # --- the task -----------------------------------------------------------------------------
 
@@ -144,7 +144,7 @@
         for key, backend in self._table.by_key().items():
             owner = self._ownership.owner_of(backend.name)
             owned = owner.node == self._node
-            if owned or backend.wants_probe(now_s, STALE_S):
+            if owned or backend.needs_probe(now_s, STALE_S):
                 to_probe[key] = backend.worker
             if not owned:
                 by_owner.setdefault(owner.peer_address, []).append(backend)
@@ -181,7 +181,7 @@
     ) -> None:
         others = self._publisher.interactive_of(worker.key)
         if backend is not None:
-            backend.take_report(replace(report, interactive=others))
+            backend.update_report(replace(report, interactive=others))
         self._publisher.publish(worker.key, report, self._now_s())
         if worker.pool in self._prefix_pools and self._ownership.owns(worker.name):
             engine = self._clients.engine(worker.address)
@@ -200,7 +200,7 @@
 
     def _used_by_callers(self, worker: str) -> bool:
         backend = self._table.by_key().get(worker)
-        return backend is not None and backend.used_by_callers(self._now_s())
+        return backend is not None and backend.has_recent_interactive_request(self._now_s())
 
     def _send(self, address: str, message: Message) -> bool:
         return self._transport.send(address, message)
