--- a/features/routing_limits.feature
+++ b/features/routing_limits.feature
@@ -1,5 +1,5 @@
 Feature: Limits, fairness and priority
-  Each class has its own limits, callers take turns, and drafts leave room for callers who wait.
+  Each request class has its own limits, callers are served fairly, and drafts yield to interactive requests.
 
   Scenario: Waiting callers take turns and a flood displaces nothing but itself
     Then routing's fair queue serves callers in turn for any pushes, pops and displacements
@@ -11,8 +11,8 @@
 
   Scenario: A request that cannot meet its deadline is refused before it waits
     Given a routing gate for 1 request at once and 8 in the queue
-    When the routing gate is held by requests of 10 s each
-    Then the routing gate refuses a request that has 1 s left as not run and names a time to return
+    When the routing gate is occupied by requests of 10 s each
+    Then the routing gate refuses a request that has 1 s left as not run with a retry delay
 
   Scenario: The limit follows the latency within its bounds
     Then routing's adaptive limit stays within its bounds for any latencies
@@ -20,7 +20,7 @@
 
   Scenario: Each class has a gate of its own
     Given routing over 1 engines and 1 application workers
-    When routing's drafts hold every place they may have
+    When routing's drafts occupy every slot of their class
     Then routing refuses another draft as overloaded and not run
     And routing still serves an interactive generation
 
--- a/features/steps/routing_choice_steps.py
+++ b/features/steps/routing_choice_steps.py
@@ -54,7 +54,7 @@
     return PoolWorker(f"w-{number}", "", "pool", BackendKind.ENGINE, zone, "region", False)
 
 
-@then("routing's subsets have their size, mostly near workers, and some elsewhere")
+@then("routing's subsets have the given size, with mostly near workers and some in other zones")
 def step_subsets(context):
     @settings(max_examples=60)
     @drawn(count=st.integers(1, 90), size=st.integers(1, 30), node=st.integers(0, 9))
@@ -71,7 +71,7 @@
     subsets()
 
 
-@then("routing's subsets change by one worker when one worker goes")
+@then("routing's subsets change by at most two workers when one is removed")
 def step_subset_change(context):
     @settings(max_examples=60)
     @drawn(count=st.integers(2, 60), size=st.integers(1, 20), gone=st.integers(0, 59))
@@ -80,7 +80,7 @@
         location = Location("node", "a", "region")
         before = set(select_subset(workers, location, size))
         after = set(select_subset([w for w in workers if w.name != f"w-{gone}"], location, size))
-        # A near worker that goes may pull in a near one that filled a place elsewhere.
+        # Removing a near worker may move another near one out of the rest of the subset.
         assert len(before - after) <= 2
         assert len(after - before) <= 2
 
@@ -93,7 +93,7 @@
     return Comparison(metadata=Metadata(name="comparison"), spec=spec)
 
 
-@then("routing's arms are stable under any change of one share")
+@then("routing moves units only from or to the arm whose share changes")
 def step_arms(context):
     @settings(max_examples=60)
     @drawn(shares=SHARES, factor=st.floats(0.1, 10.0))
@@ -108,7 +108,7 @@
     stable()
 
 
-@then("routing's arms get about their shares")
+@then("routing assigns units to arms in proportion to their shares")
 def step_shares(context):
     comparison = _comparison([1.0, 2.0, 5.0])
     counts = Counter(arm_for(comparison, f"unit-{number}").name for number in range(8000))
@@ -128,7 +128,7 @@
     views = context.node.backend_views
     wait_until(
         lambda: {view.weight_version for view in views.views("engines")} == {1, 2},
-        "both versions are seen",
+        "both versions are reported",
     )
     context.comparison = comparison
 
@@ -146,7 +146,7 @@
 
 
 class CacheEngine:
-    """An engine that consists of the stand-in's prefix cache."""
+    """A fake engine that consists of a prefix cache."""
 
     def __init__(self, gap_probability=0.0):
         self.gap_probability = gap_probability
@@ -193,14 +193,13 @@
             else:
                 _read(reader, engine, index, now_s)
                 held = set(index._held.get("engine", ()))
-                # After a restart the same numbers may stand for other events: hints may be
-                # wrong then, but what the engine holds is never missing for long.
+                # After a restart, sequence numbers may denote other events, so hints may be wrong.
                 assert restarted or held == engine.held()
 
     follows()
 
 
-@then("routing's prefix reader asks for everything again on a gap, but not too often")
+@then("routing's cache event reader resyncs after gaps, at most once per interval")
 def step_gaps(context):
     engine, reader, index = CacheEngine(gap_probability=0.3), CacheEventReader(), PrefixIndex()
     for number in range(40):
@@ -219,7 +218,7 @@
     return backends
 
 
-@then("routing's prefix-aware strategy brings a new prefix to one engine from any node")
+@then("routing's prefix-aware strategy sends a new prefix to the same engine from all nodes")
 def step_one_engine(context):
     for start in range(20):
         prompt = str(start) * 200
@@ -249,7 +248,7 @@
     bounded()
 
 
-@given("routing's lookups are known to be fast")
+@given("routing has recorded fast lookups")
 def step_fast(context):
     for _ in range(64):
         answer = context.node.forward(context.cluster.application_request()).unwrap()
@@ -259,7 +258,7 @@
     context.attempts = context.node.statistics().attempts
 
 
-@when("routing looks up while one worker hangs")
+@when("routing forwards a lookup while one worker hangs")
 def step_hang(context):
     context.hang = threading.Event()
     context.cleanup.callback(context.hang.set)
@@ -282,7 +281,7 @@
     context.hang.set()
 
 
-@then("routing's hedges are at most a twentieth of any requests")
+@then("routing's hedges stay within the hedge ratio for any number of requests")
 def step_budget(context):
     @settings(max_examples=60)
     @drawn(seed=st.integers(0, 1000), count=st.integers(1, 2000))
--- a/features/steps/routing_limits_steps.py
+++ b/features/steps/routing_limits_steps.py
@@ -33,7 +33,7 @@
         queue = FairQueue()
         waiting = defaultdict(list)
         served = dict.fromkeys(CALLERS, 0)
-        """When each caller was last served or began to wait."""
+        """Time at which each caller was last served or began to wait."""
         for time, (action, caller) in enumerate(actions, 1):
             if action == "push":
                 if not waiting[caller]:
@@ -47,7 +47,7 @@
                     assert item is None
                     continue
                 expected = min(due, key=lambda name: served[name])
-                assert item == waiting[expected].pop(0), "not the turn of this caller"
+                assert item == waiting[expected].pop(0), "served out of turn"
                 served[expected] = time
             else:
                 item = queue.displace_for(caller)
@@ -117,7 +117,7 @@
     assert max(context.running) <= 2
 
 
-@when("the routing gate is held by requests of {seconds:g} s each")
+@when("the routing gate is occupied by requests of {seconds:g} s each")
 def step_held(context, seconds):
     for _ in range(80):
         permit = context.gate.enter("caller", _deadline_s(context)).unwrap()
@@ -126,10 +126,7 @@
     context.gate.enter("caller", _deadline_s(context)).unwrap()
 
 
-@then(
-    "the routing gate refuses a request that has {left_s:g} s left as not run"
-    " and names a time to return"
-)
+@then("the routing gate refuses a request that has {left_s:g} s left as not run with a retry delay")
 def step_too_late(context, left_s):
     refusal = context.gate.enter("caller", _deadline_s(context, left_s)).failure()
     assert (refusal.reason, refusal.run_state) == (RefusalReason.DEADLINE, RunState.NOT_RUN)
@@ -168,7 +165,7 @@
     assert run(0.010, 40) > slow
 
 
-@when("routing's drafts hold every place they may have")
+@when("routing's drafts occupy every slot of their class")
 def step_drafts_hold(context):
     limits = {RequestClass.DRAFT: ClassLimits(concurrency=128, queue=0)}
     context.cluster.pool_options["engines"] = {"limits": limits}
@@ -180,7 +177,7 @@
             backend.report.maximum_batch == 1000
             for backend in context.node.backend_views.pools()["engines"].backends
         ),
-        "the larger batch is known",
+        "the larger batch is reported",
     )
     while _start_draft(context) is not None:
         pass
@@ -188,7 +185,7 @@
 
 
 def _start_draft(context):
-    """Start a draft that runs on; None and the refusal noted when it is refused."""
+    """Start a draft that keeps running; if refused, store the refusal and return None."""
     if not hasattr(context, "drafts"):
         context.drafts = []
         for engine in context.cluster.engines:
--- a/src/bellweir/routing/admitted_requests.py
+++ b/src/bellweir/routing/admitted_requests.py
@@ -1,4 +1,4 @@
-"""Requests that this node has admitted and not ended, and whether it admits more."""
+"""Admission of requests on this node, and draining of those in flight."""
 
 import threading
 from dataclasses import dataclass
@@ -15,31 +15,31 @@
 
 @dataclass(frozen=True)
 class Admission:
-    """An admitted request: its place and its deadline."""
+    """An admitted request's permit and deadline."""
 
     permit: Permit
     deadline_s: float
 
 
 class AdmittedRequests:
-    """Counts the requests in hand; thread-safe."""
+    """Admits requests and counts those in flight; thread-safe."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._in_hand = 0
+        self._in_flight = 0
         self._changed = threading.Condition()
         self.draining = False
 
     def drain(self, deadline_s: float) -> None:
-        """Admit no more and wait, at most `deadline_s` seconds, for those in hand."""
+        """Stop admitting and wait at most `deadline_s` seconds for requests in flight."""
         self.draining = True
         with self._changed:
-            self._changed.wait_for(lambda: self._in_hand == 0, deadline_s)
+            self._changed.wait_for(lambda: self._in_flight == 0, deadline_s)
 
     def admit(
         self, runtime: PoolRuntime, kind: RequestClass, caller: str, deadline_s: float | None
     ) -> Result[Admission, Refusal]:
-        """Wait for a place in the class's gate; every admission must be ended."""
+        """Wait for a slot of the request class; every admission must be ended with `end`."""
         if self.draining:
             detail = "this node is leaving"
             return Failure(not_run(RefusalReason.DRAINING, detail, RETRY_AFTER_S))
@@ -48,24 +48,24 @@
         return gate.enter(caller, until_s).map(lambda permit: self._begin(permit, until_s))
 
     def end(self, admission: Admission) -> None:
-        """Give the request's place back; called once for each admission."""
+        """Release the request's slot; call once per admission."""
         admission.permit.release()
         with self._changed:
-            self._in_hand -= 1
+            self._in_flight -= 1
             self._changed.notify_all()
 
     def _begin(self, permit: Permit, deadline_s: float) -> Admission:
         with self._changed:
-            self._in_hand += 1
+            self._in_flight += 1
         return Admission(permit, deadline_s)
 
 
 def not_run(reason: RefusalReason, detail: str, retry_after_s: float | None) -> Refusal:
-    """A refusal of a request that has not been sent anywhere."""
+    """Return the refusal of a request that was not sent to any back end."""
     return Refusal(reason, RunState.NOT_RUN, detail, retry_after_s)
 
 
 def not_configured() -> Refusal:
-    """The refusal while no configuration has reached this node."""
+    """Return the refusal for a node that has not received a configuration."""
     detail = "no configuration has reached this node yet"
     return not_run(RefusalReason.NO_BACKEND, detail, RETRY_AFTER_S)
--- a/src/bellweir/routing/cache_events.py
+++ b/src/bellweir/routing/cache_events.py
@@ -1,4 +1,4 @@
-"""Owner's reading of an engine's cache events: late, with gaps, and after restarts from anew."""
+"""Incremental reading of an engine's cache events, with a resync after gaps and restarts."""
 
 from dataclasses import dataclass
 
@@ -8,29 +8,29 @@
 from bellweir.routing.prefix_index import HASH_MASK
 
 MIN_RESYNC_INTERVAL_S = 10.0
-"""An engine whose events have gaps is read from its oldest kept event at most this often; in
-between what has come is taken as it is."""
+"""Interval between resyncs of an engine whose events have gaps; in between, incomplete batches
+are applied as they are."""
 
 
 @dataclass(frozen=True)
 class PrefixChange:
-    """What one reading has changed."""
+    """Cache changes of one read."""
 
     reset: bool
-    """Whether everything known before is void."""
+    """Whether the blocks recorded before are to be dropped."""
     added: tuple[int, ...]
     removed: tuple[int, ...]
 
 
 class CacheEventReader:
-    """Follows the events of one engine; used by one thread at a time."""
+    """Reads the events of one engine; not thread-safe."""
 
     def __init__(self) -> None:
         self._after = 0
         self._resynced_s: float | None = None
 
     def read(self, engine: Engine, now_s: float) -> PrefixChange | None:
-        """Read what is new; None when the engine does not answer or nothing has changed."""
+        """Read new events; None if the engine does not answer or nothing has changed."""
         batch = engine.read_cache_events(self._after).value_or(None)
         if batch is None:
             return None
@@ -38,8 +38,8 @@
             return self._change(batch, reset=False)
         self._resynced_s = now_s
         match engine.read_cache_events(0):
-            case Success(whole):
-                return self._change(whole, reset=True)
+            case Success(full_batch):
+                return self._change(full_batch, reset=True)
         return None
 
     def _may_resync(self, now_s: float) -> bool:
--- a/src/bellweir/routing/candidates.py
+++ b/src/bellweir/routing/candidates.py
@@ -1,4 +1,4 @@
-"""Which back ends a request may go to now."""
+"""Selection of the back ends that may receive a request."""
 
 from collections.abc import Callable, Collection, Iterable
 
@@ -11,10 +11,10 @@
     now_s: float,
     admits: Callable[[Backend], bool] = lambda _: True,
 ) -> list[Backend]:
-    """Ready back ends that were not tried and that `admits` accepts, by their circuits.
+    """Return ready, untried back ends that `admits` accepts and whose circuits permit a request.
 
-    When every circuit is open the one that has been open longest is tried: a refusal would be
-    worse than an attempt, and the retry budget bounds the attempts.
+    If all their circuits are open, the one open for longest is returned, as an attempt is better
+    than a refusal; the retry budget bounds the attempts.
     """
     ready = [
         backend
--- a/src/bellweir/routing/circuit.py
+++ b/src/bellweir/routing/circuit.py
@@ -1,10 +1,10 @@
-"""Circuit breaker of one back end: closed, open, then half-open for one trial at a time."""
+"""Circuit breaker of one back end; half-open, it permits one trial request at a time."""
 
 import random
 from enum import Enum
 
 OPEN_JITTER = 0.5
-"""An open circuit stays open up to this share longer, so that nodes do not try together."""
+"""Random extension of the open time, so that nodes do not retry simultaneously."""
 
 
 class CircuitState(Enum):
@@ -16,7 +16,7 @@
 
 
 class Circuit:
-    """Counts consecutive failures. Not thread-safe: its back end's lock guards it."""
+    """Circuit breaker on consecutive failures. Not thread-safe: guarded by the back end's lock."""
 
     def __init__(self, failures_to_open: int, open_s: float) -> None:
         self._failures_to_open = failures_to_open
@@ -36,14 +36,14 @@
         return not self._trial_running
 
     def record_start(self, now_s: float) -> None:
-        """Note the start of a request; the first one after the open time is the trial."""
+        """Record the start of a request; the first one after the open time is the trial."""
         if self.state is CircuitState.OPEN and now_s >= self._open_until_s:
             self.state = CircuitState.HALF_OPEN
         if self.state is CircuitState.HALF_OPEN:
             self._trial_running = True
 
     def record_success(self) -> bool:
-        """Close the circuit; return whether it was not closed before."""
+        """Close the circuit; return whether its state changed."""
         was_closed = self.state is CircuitState.CLOSED
         self.state = CircuitState.CLOSED
         self.opened_s = 0.0
@@ -52,7 +52,7 @@
         return not was_closed
 
     def record_failure(self, now_s: float) -> bool:
-        """Count a failure; return whether it opened a closed circuit."""
+        """Count a failure; return whether the circuit changed from closed to open."""
         self._failures += 1
         was_closed = self.state is CircuitState.CLOSED
         if was_closed and self._failures < self._failures_to_open:
@@ -64,5 +64,5 @@
         return was_closed
 
     def record_abandoned(self) -> None:
-        """Note a request that ended without telling anything of the back end's health."""
+        """Record the end of a request that says nothing about the back end's health."""
         self._trial_running = False
--- a/src/bellweir/routing/class_gate.py
+++ b/src/bellweir/routing/class_gate.py
@@ -1,4 +1,4 @@
-"""Admission of one class of requests to one pool: concurrency, a short fair queue, deadlines."""
+"""Admission control for one request class of a pool: concurrency limit, fair queue, deadlines."""
 
 import threading
 from dataclasses import dataclass, field
@@ -13,9 +13,9 @@
 from bellweir.routing.interface import Refusal, RefusalReason, RunState
 
 HOLD_TIME_WEIGHT = 0.1
-"""Weight of the newest request in the mean hold time."""
-SHORTEST_RETRY_AFTER_S = 0.1
-LONGEST_RETRY_AFTER_S = 30.0
+"""Weight of the latest request in the moving average."""
+MIN_RETRY_AFTER_S = 0.1
+MAX_RETRY_AFTER_S = 30.0
 
 DEFAULT_CLASS_LIMITS = {
     RequestClass.INTERACTIVE: ClassLimits(),
@@ -23,11 +23,11 @@
     RequestClass.ONCE: ClassLimits(),
     RequestClass.DRAFT: ClassLimits(concurrency=128, queue=8, timeout_s=600.0),
 }
-"""Limits of classes that an engine pool's spec does not name. Drafts hardly queue here: training
-steps keep their own queue, and a draft that waits must not hold a request thread."""
+"""Limits of classes missing in an engine pool's spec. The queue of drafts is short because training
+steps have their own queue and a waiting draft holds a request thread."""
 
 APPLICATION_DRAFT_LIMITS = ClassLimits(concurrency=8, queue=8, timeout_s=600.0)
-"""Drafts on application pools: those workers know no priorities."""
+"""Low, because application workers do not support priorities."""
 
 
 class _Verdict(Enum):
@@ -45,7 +45,7 @@
 
 
 class Permit:
-    """The right to run one request; release it exactly when the request has ended."""
+    """Permission to run one request; release it when the request has ended."""
 
     def __init__(self, gate: "ClassGate", granted_s: float) -> None:
         self._gate = gate
@@ -54,7 +54,7 @@
         self._lock = threading.Lock()
 
     def release(self) -> None:
-        """Give the place to the next request; releasing twice is no error."""
+        """Free the slot for the next request; idempotent."""
         with self._lock:
             if self._released:
                 return
@@ -63,7 +63,7 @@
 
 
 class ClassGate:
-    """Admits requests of one class. A waiting request holds nothing but its queue place."""
+    """Admits the requests of one class; a queued request occupies no slot."""
 
     def __init__(self, limits: ClassLimits, clock: Clock) -> None:
         self._limits = limits
@@ -75,7 +75,7 @@
         self._mean_hold_s = 0.0
 
     def reconfigure(self, limits: ClassLimits) -> None:
-        """Take over changed limits; requests already admitted or queued keep their places."""
+        """Apply changed limits; admitted and queued requests are kept."""
         with self._lock:
             self._limits = limits
             self._limit.reconfigure(limits.concurrency)
@@ -83,29 +83,29 @@
 
     @property
     def timeout_s(self) -> float:
-        """Time allowed to a request that brings no deadline."""
+        """Timeout of a request without a deadline."""
         return self._limits.timeout_s
 
     @property
     def running(self) -> int:
-        """Requests admitted and not ended."""
+        """Number of admitted requests that have not ended."""
         return self._running
 
     @property
     def queued(self) -> int:
-        """Requests waiting."""
+        """Number of queued requests."""
         return len(self._queue)
 
     def concurrency(self) -> int:
-        """Requests that may run at once, as adapted to the latency seen."""
+        """Return the current concurrency limit, which adapts to latency."""
         return self._limit.value
 
     def record_latency(self, latency_s: float) -> None:
-        """Take the time that a back end took to answer, or to give the first token."""
+        """Record a back end's latency, for generations the time to first token."""
         self._limit.record_latency(latency_s, self._running, self._clock.monotonic_s())
 
     def enter(self, caller: str, deadline_s: float) -> Result[Permit, Refusal]:
-        """Wait for a place until the deadline, or refuse at once what cannot be served."""
+        """Wait for a slot until the deadline; refuse at once if it cannot be met."""
         now_s = self._clock.monotonic_s()
         if deadline_s <= now_s:
             return Failure(_refusal(RefusalReason.DEADLINE, "the deadline has passed", None))
@@ -113,16 +113,16 @@
             if self._running < self.concurrency() and not len(self._queue):
                 self._running += 1
                 return Success(Permit(self, now_s))
-            refusal = self._make_room(caller, deadline_s - now_s)
+            refusal = self._reserve_queue_slot(caller, deadline_s - now_s)
             if refusal is not None:
                 return Failure(refusal)
             waiter = _Waiter(deadline_s)
             self._queue.push(caller, waiter)
         self._clock.wait(waiter.decided, deadline_s - now_s)
-        return self._conclude(caller, waiter)
+        return self._resolve(caller, waiter)
 
     def leave(self, granted_s: float) -> None:
-        """End an admitted request; called by its permit."""
+        """Release the slot of an admitted request; called by its permit."""
         now_s = self._clock.monotonic_s()
         with self._lock:
             self._running -= 1
@@ -130,10 +130,12 @@
             self._mean_hold_s += HOLD_TIME_WEIGHT * (held_s - self._mean_hold_s)
             self._grant(now_s)
 
-    def _make_room(self, caller: str, left_s: float) -> Refusal | None:
+    def _reserve_queue_slot(self, caller: str, remaining_s: float) -> Refusal | None:
         expected_s = self._expected_wait_s(len(self._queue) + 1)
-        if expected_s > left_s:
-            detail = f"about {expected_s:.2f} s of queueing, but {left_s:.2f} s to the deadline"
+        if expected_s > remaining_s:
+            detail = (
+                f"about {expected_s:.2f} s of queueing, but {remaining_s:.2f} s to the deadline"
+            )
             return _refusal(RefusalReason.DEADLINE, detail, expected_s)
         if len(self._queue) < self._limits.queue:
             return None
@@ -159,9 +161,9 @@
                 self._running += 1
             waiter.decided.set()
 
-    def _conclude(self, caller: str, waiter: _Waiter) -> Result[Permit, Refusal]:
+    def _resolve(self, caller: str, waiter: _Waiter) -> Result[Permit, Refusal]:
         with self._lock:
-            # A grant can race with the end of the wait: the verdict under the lock counts.
+            # A grant can race with the wait's timeout; the verdict read under the lock is final.
             if waiter.verdict is _Verdict.GRANTED:
                 return Success(Permit(self, self._clock.monotonic_s()))
             self._queue.remove(caller, waiter)
@@ -174,5 +176,5 @@
 
 def _refusal(reason: RefusalReason, detail: str, retry_after_s: float | None) -> Refusal:
     if retry_after_s is not None:
-        retry_after_s = min(LONGEST_RETRY_AFTER_S, max(SHORTEST_RETRY_AFTER_S, retry_after_s))
+        retry_after_s = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, retry_after_s))
     return Refusal(reason, RunState.NOT_RUN, detail, retry_after_s)
--- a/src/bellweir/routing/counters.py
+++ b/src/bellweir/routing/counters.py
@@ -11,7 +11,7 @@
 
 
 class DispatchCounters:
-    """Requests, attempts and outcomes since the start; thread-safe."""
+    """Counts requests, attempts and outcomes since the start of the node; thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -20,12 +20,12 @@
         self._requests = 0
 
     def count_request(self) -> None:
-        """Count a request that was asked for."""
+        """Count a received request."""
         with self._lock:
             self._requests += 1
 
     def count_attempt(self) -> None:
-        """Count an attempt on a back end."""
+        """Count an attempt to send a request to a back end."""
         with self._lock:
             self._attempts += 1
 
@@ -39,6 +39,6 @@
         self.count_outcome(refusal.reason.value)
 
     def read(self) -> DispatchStatistics:
-        """The counters as they stand."""
+        """Return the current values."""
         with self._lock:
             return DispatchStatistics(dict(self._by_outcome), self._attempts, self._requests)
--- a/src/bellweir/routing/fair_queue.py
+++ b/src/bellweir/routing/fair_queue.py
@@ -1,4 +1,4 @@
-"""A bounded queue that serves callers in turn and takes its room from the longest caller."""
+"""A queue that serves callers round-robin and can displace items of the longest caller."""
 
 from collections import OrderedDict, deque
 from typing import Generic, TypeVar
@@ -7,7 +7,7 @@
 
 
 class FairQueue(Generic[Item]):
-    """Items by caller, served round-robin. Not thread-safe: its owner's lock guards it."""
+    """Round-robin queue of items by caller. Not thread-safe: guarded by its owner's lock."""
 
     def __init__(self) -> None:
         self._by_caller: OrderedDict[str, deque[Item]] = OrderedDict()
@@ -17,12 +17,12 @@
         return self._length
 
     def push(self, caller: str, item: Item) -> None:
-        """Add an item behind the caller's own."""
+        """Append an item to the caller's queue."""
         self._by_caller.setdefault(caller, deque()).append(item)
         self._length += 1
 
     def pop(self) -> Item | None:
-        """Take the first item of the caller whose turn it is; None when empty."""
+        """Remove and return the first item of the next caller; None if the queue is empty."""
         if not self._by_caller:
             return None
         caller, items = self._by_caller.popitem(last=False)
@@ -33,7 +33,7 @@
         return item
 
     def remove(self, caller: str, item: Item) -> bool:
-        """Take an item out; False when it is not queued."""
+        """Remove an item; return False if it is not queued."""
         items = self._by_caller.get(caller)
         if items is None or item not in items:
             return False
@@ -44,10 +44,10 @@
         return True
 
     def displace_for(self, caller: str) -> Item | None:
-        """Make room for `caller` by taking out the newest item of the longest caller.
+        """Make room for `caller` by removing and returning the last item of the longest queue.
 
-        None when no other caller holds at least two items more than `caller` does, so that a
-        flood displaces nothing but itself.
+        Returns None unless that queue has at least two items more than that of `caller`, so that a
+        flood from one caller displaces only its own items.
         """
         own = len(self._by_caller.get(caller, ()))
         longest = max(self._by_caller, key=lambda name: len(self._by_caller[name]), default=None)
--- a/src/bellweir/routing/pool_runtime.py
+++ b/src/bellweir/routing/pool_runtime.py
@@ -1,4 +1,4 @@
-"""What the dispatcher keeps for each pool besides its back ends: strategy, gates, budget."""
+"""Per-pool state of the dispatcher apart from back ends: strategy, class gates, budgets."""
 
 import threading
 
@@ -13,7 +13,7 @@
 
 
 class PoolRuntime:
-    """Strategy, class gates, budgets and waiting drafts of one pool."""
+    """Strategy, class gates, retry and hedging budgets, and waiting drafts of one pool."""
 
     def __init__(self, pool: Pool, clock: Clock, index: PrefixIndex) -> None:
         self.pool = pool
@@ -25,7 +25,7 @@
         self.gates = {kind: ClassGate(class_limits(pool, kind), clock) for kind in RequestClass}
 
     def reconfigure(self, pool: Pool) -> None:
-        """Take over a changed spec; requests in hand keep their places."""
+        """Apply a changed spec; requests in flight keep their slots."""
         if pool.spec.strategy != self.pool.spec.strategy:
             self.strategy = make_strategy(pool.spec.strategy, self._index)
         self.budget.ratio = pool.spec.retry_budget
@@ -35,7 +35,7 @@
 
 
 class PoolRuntimes:
-    """The runtimes of all pools, made at first use."""
+    """The runtimes of all pools, created on first use; thread-safe."""
 
     def __init__(self, clock: Clock, index: PrefixIndex) -> None:
         self._clock = clock
@@ -44,12 +44,12 @@
         self._runtimes: dict[str, PoolRuntime] = {}
 
     def all(self) -> tuple[PoolRuntime, ...]:
-        """The runtimes made so far."""
+        """Return the runtimes created so far."""
         with self._lock:
             return tuple(self._runtimes.values())
 
     def of(self, pool: Pool) -> PoolRuntime:
-        """The runtime of a pool, in line with the given spec."""
+        """Return the runtime of a pool, reconfigured if the spec has changed."""
         name = pool.metadata.name
         runtime = self._runtimes.get(name)
         if runtime is not None and runtime.pool is pool:
@@ -65,7 +65,7 @@
 
 
 def class_limits(pool: Pool, kind: RequestClass) -> ClassLimits:
-    """The pool's limits of a class, or the default ones."""
+    """Return the pool's limits for a request class, or the defaults."""
     named = pool.spec.limits.get(kind)
     if named is not None:
         return named
--- a/src/bellweir/routing/pool_table.py
+++ b/src/bellweir/routing/pool_table.py
@@ -1,4 +1,4 @@
-"""The back ends of each pool that this node routes over, kept in line with the configuration."""
+"""Table of the back ends that this node routes over, by pool, updated from the configuration."""
 
 import threading
 from collections.abc import Callable, Mapping
@@ -15,15 +15,15 @@
 
 @dataclass(frozen=True)
 class PoolBackends:
-    """One pool's spec and the back ends of the node's subset."""
+    """A pool's spec and the back ends of the node's subset."""
 
     pool: Pool
     backends: tuple[Backend, ...]
 
 
 @dataclass(frozen=True)
-class _Drawn:
-    """A pool's workers as divided into the node's subset and the others that stay."""
+class _PoolSubset:
+    """A pool's workers: the node's subset, and the others that are not leaving."""
 
     pool: Pool
     machines: Mapping[str, Machine]
@@ -33,7 +33,7 @@
 
 
 class PoolTable:
-    """Immutable lists of back ends by pool, replaced as a whole at each change."""
+    """Immutable lists of back ends by pool, replaced as a whole on each change."""
 
     def __init__(self, location: Location, settings: RoutingSettings) -> None:
         self._location = location
@@ -42,34 +42,36 @@
         self._pools: dict[str, PoolBackends] = {}
         self._by_key: dict[str, Backend] = {}
         self._has_large_pools = False
-        self._drawn: dict[str, _Drawn] = {}
+        self._selections: dict[str, _PoolSubset] = {}
 
     def pools(self) -> dict[str, PoolBackends]:
-        """The pools as of the last change; not to be modified."""
+        """Return the pools as of the last change; not to be modified."""
         return self._pools
 
     @property
     def has_large_pools(self) -> bool:
-        """Whether a pool has more workers than this node routes over."""
+        """Whether any pool has more workers than the node's subset."""
         return self._has_large_pools
 
     def by_key(self) -> dict[str, Backend]:
-        """The back ends of all pools by `pool/worker`; not to be modified."""
+        """Return the back ends of all pools by `pool/worker`; not to be modified."""
         return self._by_key
 
     def apply(self, snapshot: ConfigurationSnapshot, owns: Callable[[str], bool]) -> None:
-        """Take over a snapshot; back ends that stay keep what is known of them.
+        """Apply a configuration snapshot; back ends that remain keep their state.
 
         `owns` tells whether this node owns a worker, by name.
         """
         with self._lock:
-            held = self._pools
+            previous = self._pools
             self._has_large_pools = False
             self._pools = {
-                name: PoolBackends(pool, self._backends_of(pool, snapshot, owns, held.get(name)))
+                name: PoolBackends(
+                    pool, self._backends_of(pool, snapshot, owns, previous.get(name))
+                )
                 for name, pool in snapshot.pools.items()
             }
-            self._drawn = {name: self._drawn[name] for name in self._pools}
+            self._selections = {name: self._selections[name] for name in self._pools}
             self._by_key = {
                 backend.key: backend for found in self._pools.values() for backend in found.backends
             }
@@ -79,39 +81,39 @@
         pool: Pool,
         snapshot: ConfigurationSnapshot,
         owns: Callable[[str], bool],
-        held: PoolBackends | None,
+        previous: PoolBackends | None,
     ) -> tuple[Backend, ...]:
-        drawn = self._draw(pool, snapshot.machines)
-        known = {backend.name: backend for backend in held.backends} if held else {}
-        chosen = list(drawn.subset)
-        if drawn.others:
-            # Subsets that nodes draw on their own leave some workers of a large pool to nobody
-            # (428 of 3,800 at 340 nodes and 24); every worker has an owner, who routes over it.
+        selection = self._select(pool, snapshot.machines)
+        known = {backend.name: backend for backend in previous.backends} if previous else {}
+        chosen = list(selection.subset)
+        if selection.others:
+            # Subsets are selected independently and may leave a worker of a large pool without a
+            # node; its owner therefore routes over it.
             self._has_large_pools = True
-            chosen += [worker for worker in drawn.others if owns(worker.name)]
-        by_name = {worker.name: worker for worker in drawn.workers}
-        chosen += self._leaving_with_work(by_name, known, {worker.name for worker in chosen})
+            chosen += [worker for worker in selection.others if owns(worker.name)]
+        by_name = {worker.name: worker for worker in selection.workers}
+        chosen += self._with_requests_in_flight(by_name, known, {worker.name for worker in chosen})
         return tuple(self._backend(worker, known.get(worker.name)) for worker in chosen)
 
-    def _draw(self, pool: Pool, machines: Mapping[str, Machine]) -> _Drawn:
-        """Draw the subset, or take the one drawn before from the same objects."""
+    def _select(self, pool: Pool, machines: Mapping[str, Machine]) -> _PoolSubset:
+        """Select the subset, or return the cached one if its inputs are the same objects."""
         name = pool.metadata.name
-        before = self._drawn.get(name)
-        if before is not None and before.pool is pool and before.machines is machines:
-            return before
+        cached = self._selections.get(name)
+        if cached is not None and cached.pool is pool and cached.machines is machines:
+            return cached
         workers = workers_of_pool(pool, machines)
         subset = select_subset(workers, self._location, pool.spec.subset_size)
         names = {worker.name for worker in subset}
         others = tuple(
             worker for worker in workers if worker.name not in names and not worker.leaving
         )
-        self._drawn[name] = _Drawn(pool, machines, workers, subset, others)
-        return self._drawn[name]
+        self._selections[name] = _PoolSubset(pool, machines, workers, subset, others)
+        return self._selections[name]
 
-    def _leaving_with_work(
+    def _with_requests_in_flight(
         self, by_name: dict[str, PoolWorker], known: dict[str, Backend], chosen: set[str]
     ) -> list[PoolWorker]:
-        """Back ends that left the subset but still have requests of this node in hand."""
+        """Return the workers that left the subset with requests of this node in flight."""
         return [
             by_name.get(name, backend.worker)
             for name, backend in known.items()
--- a/src/bellweir/routing/pool_workers.py
+++ b/src/bellweir/routing/pool_workers.py
@@ -1,4 +1,4 @@
-"""The workers of a pool, and the subset of them that one node routes over."""
+"""The workers of a pool and the selection of the subset that a node routes over."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -8,8 +8,8 @@
 from bellweir.routing.rendezvous import score
 
 NEAR_SHARE = 2 / 3
-"""Share of a subset that is taken nearest first; the rest lies elsewhere, so that the loss of
-a whole zone leaves every node back ends to go on with."""
+"""Share of the nearest workers in a subset; the others are in other zones if possible, so that a
+node still has back ends after the loss of a zone."""
 
 SAME_ZONE = 0
 SAME_REGION = 1
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class PoolWorker:
-    """One back end of a pool, from the pool's spec or from the machine list."""
+    """A worker of a pool, from the pool's spec or from the machine list."""
 
     name: str
     address: str
@@ -37,21 +37,21 @@
 
 @dataclass(frozen=True)
 class Location:
-    """Where a node runs."""
+    """Zone and region of a node."""
 
     node: str
     zone: str
     region: str
 
     def distance(self, zone: str, region: str) -> int:
-        """`SAME_ZONE`, `SAME_REGION` or `OTHER_REGION`."""
+        """Return `SAME_ZONE`, `SAME_REGION` or `OTHER_REGION`."""
         if zone == self.zone:
             return SAME_ZONE
         return SAME_REGION if region == self.region else OTHER_REGION
 
 
 def workers_of_pool(pool: Pool, machines: Mapping[str, Machine]) -> tuple[PoolWorker, ...]:
-    """All workers of a pool, sorted by name; the spec goes before the machine list."""
+    """Return all workers of a pool by name; the spec takes precedence over the machine list."""
     found: dict[str, PoolWorker] = {}
     if pool.spec.from_machine_list:
         for machine in machines.values():
@@ -87,7 +87,7 @@
 def select_subset(
     workers: Iterable[PoolWorker], location: Location, size: int
 ) -> tuple[PoolWorker, ...]:
-    """At most `size` workers that do not leave: most of them near, some of them elsewhere."""
+    """Select at most `size` workers that are not leaving, mostly near ones."""
     staying = [worker for worker in workers if not worker.leaving]
     by_hash = sorted(staying, key=lambda worker: -score(location.node, worker.name))
     nearest = sorted(by_hash, key=lambda worker: location.distance(worker.zone, worker.region))
--- a/src/bellweir/routing/prefix_hints.py
+++ b/src/bellweir/routing/prefix_hints.py
@@ -1,4 +1,4 @@
-"""Reads cache events of owned engines and tells subscribers, within a bound of bytes."""
+"""Reads cache events of owned engines and sends them to subscribers at a bounded rate."""
 
 import array
 import threading
@@ -9,15 +9,15 @@
 from bellweir.routing.messages import PushPrefixes
 from bellweir.routing.prefix_index import PrefixIndex
 
-HINT_BYTES_PER_S = 1024
-"""Bound of what an owner sends on prefixes; what is above it is dropped, newest blocks first in."""
+MAX_HINT_BYTES_PER_S = 1024
+"""Rate limit of an owner; the oldest blocks above it are dropped."""
 BLOCK_BYTES = 4
 
 SendHints = Callable[[str, PushPrefixes], bool]
 
 
 class PrefixHints:
-    """The node's index, what it reads for it and what it passes on; thread-safe."""
+    """Maintains the node's prefix index from its own engines and other owners; thread-safe."""
 
     def __init__(self, send: SendHints, period_s: float) -> None:
         self.index = PrefixIndex()
@@ -28,7 +28,7 @@
         self._routed: set[str] = set()
 
     def read(self, worker: str, engine: Engine, now_s: float, subscribers: list[str]) -> None:
-        """Read an owned engine's events; called by one probe at a time for each engine."""
+        """Read an owned engine's events; one call at a time per engine."""
         with self._lock:
             reader = self._readers.setdefault(worker, CacheEventReader())
         change = reader.read(engine, now_s)
@@ -41,12 +41,12 @@
                 self._send(address, message)
 
     def apply_message(self, message: PushPrefixes) -> None:
-        """Take an owner's hints."""
+        """Apply the hints of an owner to the index."""
         added, removed = _unpack(message.added), _unpack(message.removed)
         self._apply(message.worker, message.reset, added, removed)
 
     def retain(self, routed: set[str], known: set[str]) -> None:
-        """Forget hints of engines not routed over, and readers of engines that are gone."""
+        """Drop the hints of engines outside `routed` and the readers of engines outside `known`."""
         self._routed = routed
         self.index.retain(routed)
         with self._lock:
@@ -64,10 +64,12 @@
 
     def _message(self, worker: str, change: PrefixChange, subscribers: int) -> PushPrefixes:
         engines = max(1, len(self._readers))
-        share = HINT_BYTES_PER_S * self._period_s / subscribers / engines / BLOCK_BYTES
-        room = max(1, int(share))
-        added = change.added[-room:]
-        removed = change.removed[: max(0, room - len(added))]
+        blocks_per_message = (
+            MAX_HINT_BYTES_PER_S * self._period_s / subscribers / engines / BLOCK_BYTES
+        )
+        max_blocks = max(1, int(blocks_per_message))
+        added = change.added[-max_blocks:]
+        removed = change.removed[: max(0, max_blocks - len(added))]
         return PushPrefixes(worker, change.reset, _pack(added), _pack(removed))
 
 
--- a/src/bellweir/routing/prefix_index.py
+++ b/src/bellweir/routing/prefix_index.py
@@ -1,8 +1,7 @@
-"""A hint of which prompt prefixes each engine holds in its cache.
+"""Approximate index of the prompt prefixes in each engine's cache.
 
-Fed by what this node has sent (at once, before any event) and by cache events (late, with gaps).
-It is never relied on: a wrong hint costs the engine a prefill, nothing else. Blocks are kept by
-32 bits of their hash; a collision is one more wrong hint.
+Updated by the requests this node sends and by cache events, which are late and may have gaps.
+A wrong entry, or a collision of the 32-bit block hashes, only costs the engine a prefill.
 """
 
 import threading
@@ -13,18 +12,17 @@
 
 from bellweir.clients.interface import PREFIX_BLOCK_CHARACTERS
 
-KEPT_BLOCKS = 8192
-"""Blocks kept for each engine, least recently used first out; about 0.8 MB each."""
-PROMPT_BLOCKS = 128
-"""Blocks of a prompt that are compared; a longer common start decides nothing more."""
+MAX_BLOCKS_PER_ENGINE = 8192
+"""The least recently used blocks are evicted."""
+MAX_PROMPT_BLOCKS = 128
 HASH_MASK = (1 << 32) - 1
 
 
 def prompt_blocks(prompt: str) -> tuple[int, ...]:
-    """Hashes of the prompt's leading whole blocks, as cache events name them, cut to 32 bits."""
+    """Return the hashes of the prompt's leading full blocks as in cache events, cut to 32 bits."""
     digest = xxhash.xxh64()
     hashes = []
-    last = min(len(prompt), PROMPT_BLOCKS * PREFIX_BLOCK_CHARACTERS) - PREFIX_BLOCK_CHARACTERS
+    last = min(len(prompt), MAX_PROMPT_BLOCKS * PREFIX_BLOCK_CHARACTERS) - PREFIX_BLOCK_CHARACTERS
     for start in range(0, last + 1, PREFIX_BLOCK_CHARACTERS):
         digest.update(prompt[start : start + PREFIX_BLOCK_CHARACTERS].encode())
         hashes.append(digest.intdigest() & HASH_MASK)
@@ -32,30 +30,30 @@
 
 
 class PrefixIndex:
-    """Blocks by engine (`pool/worker`); thread-safe."""
+    """Cached blocks by engine key (`pool/worker`); thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._held: dict[str, OrderedDict[int, None]] = {}
 
     def count_matched_blocks(self, workers: Sequence[str], blocks: Sequence[int]) -> list[int]:
-        """For each engine the number of the prompt's leading blocks it is thought to hold."""
+        """Return, for each engine, the number of leading blocks of the prompt in its cache."""
         with self._lock:
             return [self._count_matched(worker, blocks) for worker in workers]
 
     def add(self, worker: str, blocks: Iterable[int]) -> None:
-        """Note blocks as held, those of a prompt first to last."""
+        """Record cached blocks, given in the order of the prompt."""
         with self._lock:
             held = self._held.setdefault(worker, OrderedDict())
-            # The start of a prompt is used last, so that it is forgotten last.
+            # The start of the prompt becomes the most recently used and is evicted last.
             for block in reversed(tuple(blocks)):
                 held[block] = None
                 held.move_to_end(block)
-            while len(held) > KEPT_BLOCKS:
+            while len(held) > MAX_BLOCKS_PER_ENGINE:
                 held.popitem(last=False)
 
     def remove(self, worker: str, blocks: Iterable[int]) -> None:
-        """Note blocks as evicted."""
+        """Record evicted blocks."""
         with self._lock:
             held = self._held.get(worker)
             if held is not None:
@@ -63,12 +61,12 @@
                     held.pop(block, None)
 
     def reset(self, worker: str) -> None:
-        """Forget everything of an engine."""
+        """Remove all blocks of an engine."""
         with self._lock:
             self._held.pop(worker, None)
 
     def retain(self, workers: set[str]) -> None:
-        """Forget engines that are no longer routed over."""
+        """Drop all engines outside `workers`."""
         with self._lock:
             self._held = {name: held for name, held in self._held.items() if name in workers}
 
--- a/src/bellweir/routing/probing.py
+++ b/src/bellweir/routing/probing.py
@@ -1,4 +1,4 @@
-"""Direct probes of back ends: one call for each, mapped to a report."""
+"""Direct probes of back ends, mapped to reports."""
 
 from returns.result import Failure, Result, Success
 
@@ -19,7 +19,7 @@
 def probe(
     worker: PoolWorker, clients: PlatformClients, clock: Clock
 ) -> Result[BackendReport, PlatformError]:
-    """Read a back end's own state; the report counts as made when the probe began."""
+    """Read a back end's state; the report carries the time at which the probe began."""
     began_s = clock.monotonic_s()
     if worker.kind is BackendKind.ENGINE:
         engine_state = clients.engine(worker.address).read_state(PROBE_TIMEOUT_S)
@@ -33,7 +33,7 @@
 
 
 def engine_report(state: EngineState, made_s: float) -> BackendReport:
-    """Map an engine's state; one between two versions serves nothing."""
+    """Map an engine's state; an engine without a weight version is not ready."""
     return BackendReport(
         ready=state.ready and state.weight_version is not None,
         leaving=state.leaving,
--- a/src/bellweir/routing/rendezvous.py
+++ b/src/bellweir/routing/rendezvous.py
@@ -1,9 +1,7 @@
-"""Rendezvous hashing, plain and weighted; the same on every node.
+"""Weighted rendezvous hashing.
 
-Each member gets a score for a key and the highest score wins, so that adding or removing a
-member moves only the keys it gains or loses (Thaler and Ravishankar 1998). The weighted score
-`-weight / ln(hash)` is the logarithmic method of Schindelhauer and Schomaker (2005): a changed
-weight moves keys only from or to the member whose weight changed.
+The member with the highest score for a key wins (Thaler and Ravishankar 1998). The score
+`-weight / ln(hash)` is the logarithmic method of Schindelhauer and Schomaker (2005).
 """
 
 import math
@@ -15,7 +13,11 @@
 
 
 def score(key: str, member: str, weight: float = 1.0) -> float:
-    """Score of a member for a key; `weight` must be above 0."""
+    """Return the score of a member for a key; `weight` must be positive.
+
+    The scores are equal on all nodes. Adding or removing a member, or changing its weight, moves
+    only keys from or to that member.
+    """
     digest = xxhash.xxh64_intdigest(f"{key}{SEPARATOR}{member}".encode())
     fraction = (digest + 0.5) / HASH_RANGE
     return -weight / math.log(min(fraction, 1.0 - 1e-16))
--- a/src/bellweir/routing/retry_budget.py
+++ b/src/bellweir/routing/retry_budget.py
@@ -1,21 +1,21 @@
-"""Retry budget of one pool: retries are paid for by recent successes."""
+"""Retry budget of one pool, replenished by successful requests, and retry backoff."""
 
 import random
 import threading
 
 RESERVE_RETRIES = 10.0
-"""Retries a pool may make before its first success."""
+"""Retries permitted without any success."""
 WINDOW_S = 10.0
-"""Unused retries are worth nothing after about this time."""
-BACKOFF_FIRST_S = 0.005
-BACKOFF_LONGEST_S = 0.25
+"""Period over which unused retries above the reserve decay."""
+INITIAL_BACKOFF_S = 0.005
+MAX_BACKOFF_S = 0.25
 
 
 class RetryBudget:
     """A token bucket filled by successes, as in Finagle's `RetryBudget`; thread-safe.
 
-    With ratio r, at most `RESERVE_RETRIES` plus r retries for each success are made, so under
-    a total outage the attempts for each request go towards 1.
+    With ratio r, it permits at most `RESERVE_RETRIES` plus r retries per success, so that in a
+    total outage the number of attempts per request approaches 1.
     """
 
     def __init__(self, ratio: float, now_s: float) -> None:
@@ -25,13 +25,13 @@
         self._lock = threading.Lock()
 
     def record_success(self, now_s: float) -> None:
-        """Pay in the share of one success."""
+        """Add the budget earned by one success."""
         with self._lock:
             self._decay(now_s)
             self._balance += self.ratio
 
     def withdraw(self, now_s: float) -> bool:
-        """Take one retry; False when the budget is spent."""
+        """Spend one retry; return False if the budget is exhausted."""
         with self._lock:
             self._decay(now_s)
             if self._balance < 1.0:
@@ -40,7 +40,7 @@
             return True
 
     def _decay(self, now_s: float) -> None:
-        """Let what lies above the reserve fade over the window."""
+        """Reduce the balance above the reserve by the elapsed share of the window."""
         elapsed_s = max(0.0, now_s - self._refilled_s)
         self._refilled_s = now_s
         surplus = self._balance - RESERVE_RETRIES
@@ -49,6 +49,6 @@
 
 
 def backoff_s(retry: int) -> float:
-    """Wait before a retry, counted from 1: full jitter under a doubling bound."""
-    bound_s = min(BACKOFF_LONGEST_S, BACKOFF_FIRST_S * (1 << min(retry, 16)))
+    """Return the wait before a retry (from 1): exponential backoff with full jitter."""
+    bound_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * (1 << min(retry, 16)))
     return random.uniform(0.0, bound_s)
--- a/src/bellweir/routing/strategies.py
+++ b/src/bellweir/routing/strategies.py
@@ -1,4 +1,4 @@
-"""Strategies that choose one of several usable back ends, by name."""
+"""Load-balancing strategies: each chooses one of the usable back ends of a pool."""
 
 import itertools
 import random
@@ -11,21 +11,18 @@
 from bellweir.routing.rendezvous import score
 
 SAMPLE_SIZE = 3
-"""Back ends compared for one request in large subsets. Comparing all of them sends every node
-to the same one while reports are late; two or three random ones do not (Mitzenmacher 2000,
-"How Useful Is Old Information?")."""
-COMPARE_ALL_UP_TO = 8
-"""Subsets of this size are compared whole."""
+"""Back ends compared for one request in large subsets. With stale reports, comparing all of them
+would send every node to the same one (Mitzenmacher 2000, "How Useful Is Old Information?")."""
+MAX_UNSAMPLED_BACKENDS = 8
+"""Subsets up to this size are compared in full."""
 DISTANCE_COST = {SAME_ZONE: 0.0, SAME_REGION: 0.5, OTHER_REGION: 4.0}
-"""Cost of distance, in requests outstanding."""
-
+"""In outstanding requests."""
 MAX_EXCESS_LOAD = 8.0
-"""Requests that an engine may have more than the least loaded one and still be chosen for what
-it holds: a prefill saved is worth a short wait, not a hot spot."""
+"""Outstanding requests above the least loaded engine up to which a cached prefix is preferred."""
 
 
 class Strategy(ABC):
-    """Chooses a back end; one instance for each pool, thread-safe."""
+    """Chooses a back end. Each pool has its own instance; thread-safe."""
 
     @abstractmethod
     def choose(self, usable: Sequence[Backend], prompt: str | None) -> Backend:
@@ -33,21 +30,21 @@
 
 
 class RoundRobin(Strategy):
-    """Each in turn; a baseline."""
+    """Chooses the back ends in turn."""
 
     def __init__(self) -> None:
-        self._turn = itertools.count()
+        self._sequence = itertools.count()
 
     def choose(self, usable: Sequence[Backend], prompt: str | None) -> Backend:
-        """Choose the next one."""
-        return usable[next(self._turn) % len(usable)]
+        """Choose the next back end."""
+        return usable[next(self._sequence) % len(usable)]
 
 
 class LeastOutstanding(Strategy):
-    """The least loaded of a few candidates, nearer ones first."""
+    """Chooses the back end with the lowest cost of load and distance in a random sample."""
 
     def choose(self, usable: Sequence[Backend], prompt: str | None) -> Backend:
-        """Choose by load and distance; ties are broken at random."""
+        """Choose the back end with the lowest cost; ties are broken at random."""
         return min(sample(usable), key=lambda backend: (cost(backend), random.random()))
 
 
@@ -63,13 +60,15 @@
         self._index = index
 
     def choose(self, usable: Sequence[Backend], prompt: str | None) -> Backend:
-        """Choose by matched blocks among those not much busier than the least loaded."""
+        """Choose by cached leading blocks, or by cost if the prompt has no full block."""
         blocks = prompt_blocks(prompt) if prompt else ()
         if not blocks:
             return min(sample(usable), key=lambda backend: (cost(backend), random.random()))
         costs = [cost(backend) for backend in usable]
-        bound = min(costs) + MAX_EXCESS_LOAD
-        eligible = [backend for backend, load in zip(usable, costs, strict=True) if load <= bound]
+        max_cost = min(costs) + MAX_EXCESS_LOAD
+        eligible = [
+            backend for backend, load in zip(usable, costs, strict=True) if load <= max_cost
+        ]
         matched = self._index.count_matched_blocks([backend.key for backend in eligible], blocks)
         first = str(blocks[0])
         chosen = max(
@@ -81,14 +80,14 @@
 
 
 def sample(usable: Sequence[Backend]) -> Sequence[Backend]:
-    """The candidates to compare."""
-    if len(usable) <= COMPARE_ALL_UP_TO:
+    """Return the back ends to compare: all of a small subset, otherwise a random sample."""
+    if len(usable) <= MAX_UNSAMPLED_BACKENDS:
         return usable
     return random.sample(usable, SAMPLE_SIZE)
 
 
 def cost(backend: Backend) -> float:
-    """Load and distance of a back end, in requests outstanding."""
+    """Return the cost of load and distance, in outstanding requests."""
     return backend.load() + DISTANCE_COST[backend.distance]
 
 
@@ -102,6 +101,6 @@
 
 
 def make_strategy(name: str, index: PrefixIndex) -> Strategy:
-    """Make a strategy; an unknown name gives `least_outstanding`."""
+    """Create a strategy by name; `least_outstanding` if the name is unknown."""
     make = STRATEGIES.get(name)
     return make(index) if make is not None else LeastOutstanding()
