--- a/features/steps/routing_choice_steps.py
+++ b/features/steps/routing_choice_steps.py
@@ -22,15 +22,15 @@
     Worker,
 )
 from bellweir.routing.backend import Backend, BackendReport
-from bellweir.routing.cache_events import RESYNC_PERIOD_S, CacheEventReader
+from bellweir.routing.cache_events import MIN_RESYNC_INTERVAL_S, CacheEventReader
 from bellweir.routing.circuit import Circuit
 from bellweir.routing.comparisons import arm_for
-from bellweir.routing.hedging import HEDGED_SHARE, HedgePolicy
+from bellweir.routing.hedging import MAX_HEDGE_RATIO, HedgePolicy
 from bellweir.routing.metrics import RoutingCollector
 from bellweir.routing.pool_table import PoolTable
-from bellweir.routing.pool_workers import Location, PoolWorker, subset_of
+from bellweir.routing.pool_workers import Location, PoolWorker, select_subset
 from bellweir.routing.prefix_index import HASH_MASK, PrefixIndex
-from bellweir.routing.strategies import LOAD_SLACK, PrefixAware
+from bellweir.routing.strategies import MAX_EXCESS_LOAD, PrefixAware
 from bellweir.settings.models import RoutingSettings
 from bellweir_rehearsal.standins.prefix_cache import CacheEventLog, PrefixCache, block_hashes
 from support.routing_cluster import POLICY, body_of
@@ -54,13 +54,13 @@
     return PoolWorker(f"w-{number}", "", "pool", BackendKind.ENGINE, zone, "region", False)
 
 
-@then("routing's subsets have their size, mostly near workers, and some elsewhere")
+@then("routing's subsets have the given size, with mostly near workers and some in other zones")
 def step_subsets(context):
     @settings(max_examples=60)
     @drawn(count=st.integers(1, 90), size=st.integers(1, 30), node=st.integers(0, 9))
     def subsets(count, size, node):
         workers = [_worker(number, ZONES[number % 3]) for number in range(count)]
-        chosen = subset_of(workers, Location(f"node-{node}", "a", "region"), size)
+        chosen = select_subset(workers, Location(f"node-{node}", "a", "region"), size)
         assert len(chosen) == len(set(chosen)) == min(size, count)
         near = sum(worker.zone == "a" for worker in chosen)
         have = sum(worker.zone == "a" for worker in workers)
@@ -71,16 +71,16 @@
     subsets()
 
 
-@then("routing's subsets change by one worker when one worker goes")
+@then("routing's subsets change by at most two workers when one is removed")
 def step_subset_change(context):
     @settings(max_examples=60)
     @drawn(count=st.integers(2, 60), size=st.integers(1, 20), gone=st.integers(0, 59))
     def stable(count, size, gone):
         workers = [_worker(number, ZONES[number % 3]) for number in range(count)]
         location = Location("node", "a", "region")
-        before = set(subset_of(workers, location, size))
-        after = set(subset_of([w for w in workers if w.name != f"w-{gone}"], location, size))
-        # A near worker that goes may pull in a near one that filled a place elsewhere.
+        before = set(select_subset(workers, location, size))
+        after = set(select_subset([w for w in workers if w.name != f"w-{gone}"], location, size))
+        # Removing a near worker may move another near one out of the rest of the subset.
         assert len(before - after) <= 2
         assert len(after - before) <= 2
 
@@ -93,7 +93,7 @@
     return Comparison(metadata=Metadata(name="comparison"), spec=spec)
 
 
-@then("routing's arms are stable under any change of one share")
+@then("routing moves units only from or to the arm whose share changes")
 def step_arms(context):
     @settings(max_examples=60)
     @drawn(shares=SHARES, factor=st.floats(0.1, 10.0))
@@ -108,7 +108,7 @@
     stable()
 
 
-@then("routing's arms get about their shares")
+@then("routing assigns units to arms in proportion to their shares")
 def step_shares(context):
     comparison = _comparison([1.0, 2.0, 5.0])
     counts = Counter(arm_for(comparison, f"unit-{number}").name for number in range(8000))
@@ -128,7 +128,7 @@
     views = context.node.backend_views
     wait_until(
         lambda: {view.weight_version for view in views.views("engines")} == {1, 2},
-        "both versions are seen",
+        "both versions are reported",
     )
     context.comparison = comparison
 
@@ -146,7 +146,7 @@
 
 
 class CacheEngine:
-    """An engine that consists of the stand-in's prefix cache."""
+    """A fake engine that consists of a prefix cache."""
 
     def __init__(self, gap_probability=0.0):
         self.gap_probability = gap_probability
@@ -183,7 +183,7 @@
         engine, reader, index = CacheEngine(), CacheEventReader(), PrefixIndex()
         now_s, restarted = 0.0, False
         for action, letters in actions:
-            now_s += RESYNC_PERIOD_S
+            now_s += MIN_RESYNC_INTERVAL_S
             if action == "store":
                 prompt = "".join(letter * PREFIX_BLOCK_CHARACTERS for letter in letters)
                 engine.cache.store(block_hashes(prompt))
@@ -193,33 +193,32 @@
             else:
                 _read(reader, engine, index, now_s)
                 held = set(index._held.get("engine", ()))
-                # After a restart the same numbers may stand for other events: hints may be
-                # wrong then, but what the engine holds is never missing for long.
+                # After a restart, sequence numbers may denote other events, so hints may be wrong.
                 assert restarted or held == engine.held()
 
     follows()
 
 
-@then("routing's prefix reader asks for everything again on a gap, but not too often")
+@then("routing's cache event reader resyncs after gaps, at most once per interval")
 def step_gaps(context):
     engine, reader, index = CacheEngine(gap_probability=0.3), CacheEventReader(), PrefixIndex()
     for number in range(40):
         engine.cache.store(block_hashes(str(number) * PREFIX_BLOCK_CHARACTERS * 2))
         _read(reader, engine, index, number * 1.0)
     whole = [number for number, after in enumerate(engine.reads) if after == 0]
-    assert 2 <= len(whole) <= 2 + 40 / RESYNC_PERIOD_S, engine.reads
+    assert 2 <= len(whole) <= 2 + 40 / MIN_RESYNC_INTERVAL_S, engine.reads
 
 
 def _backends(loads):
     backends = []
     for number, load in enumerate(loads):
         backend = Backend(_worker(number, "a"), 0, Circuit(3, 1.0))
-        backend.take_report(BackendReport(True, False, load, 1.0))
+        backend.update_report(BackendReport(True, False, load, 1.0))
         backends.append(backend)
     return backends
 
 
-@then("routing's prefix-aware strategy brings a new prefix to one engine from any node")
+@then("routing's prefix-aware strategy sends a new prefix to the same engine from all nodes")
 def step_one_engine(context):
     for start in range(20):
         prompt = str(start) * 200
@@ -241,15 +240,15 @@
         prompt = "x" * 500
         index.add(backends[held % len(backends)].key, [b & HASH_MASK for b in block_hashes(prompt)])
         chosen = strategy.choose(backends, prompt)
-        assert chosen.load() <= min(loads) + LOAD_SLACK
+        assert chosen.load() <= min(loads) + MAX_EXCESS_LOAD
         holder = backends[held % len(backends)]
-        if holder.load() <= min(loads) + LOAD_SLACK:
+        if holder.load() <= min(loads) + MAX_EXCESS_LOAD:
             assert chosen is holder
 
     bounded()
 
 
-@given("routing's lookups are known to be fast")
+@given("routing has recorded fast lookups")
 def step_fast(context):
     for _ in range(64):
         answer = context.node.forward(context.cluster.application_request()).unwrap()
@@ -259,7 +258,7 @@
     context.attempts = context.node.statistics().attempts
 
 
-@when("routing looks up while one worker hangs")
+@when("routing forwards a lookup while one worker hangs")
 def step_hang(context):
     context.hang = threading.Event()
     context.cleanup.callback(context.hang.set)
@@ -282,7 +281,7 @@
     context.hang.set()
 
 
-@then("routing's hedges are at most a twentieth of any requests")
+@then("routing's hedges stay within the hedge ratio for any number of requests")
 def step_budget(context):
     @settings(max_examples=60)
     @drawn(seed=st.integers(0, 1000), count=st.integers(1, 2000))
@@ -290,9 +289,9 @@
         policy, chooser = HedgePolicy(), random.Random(seed)
         hedges = 0
         for _ in range(count):
-            policy.sample(chooser.random())
+            policy.record_latency(chooser.random())
             hedges += chooser.random() < 0.5 and policy.withdraw()
-        assert hedges <= 1 + HEDGED_SHARE * count
+        assert hedges <= 1 + MAX_HEDGE_RATIO * count
 
     bounded()
 
--- a/src/bellweir/routing/pool_runtime.py
+++ b/src/bellweir/routing/pool_runtime.py
@@ -1,11 +1,11 @@
-"""What the dispatcher keeps for each pool besides its back ends: strategy, gates, budget."""
+"""Per-pool state of the dispatcher apart from back ends: strategy, class gates, budgets."""
 
 import threading
 
 from bellweir.kernel.clock import Clock
 from bellweir.resources.models import BackendKind, ClassLimits, Pool, RequestClass
-from bellweir.routing.admission import APPLICATION_DRAFT_LIMITS, DEFAULT_CLASS_LIMITS, ClassGate
-from bellweir.routing.draft_room import DraftRoom
+from bellweir.routing.class_gate import APPLICATION_DRAFT_LIMITS, DEFAULT_CLASS_LIMITS, ClassGate
+from bellweir.routing.draft_waiters import DraftWaiters
 from bellweir.routing.hedging import HedgePolicy
 from bellweir.routing.prefix_index import PrefixIndex
 from bellweir.routing.retry_budget import RetryBudget
@@ -13,7 +13,7 @@
 
 
 class PoolRuntime:
-    """Strategy, class gates, budgets and waiting drafts of one pool."""
+    """Strategy, class gates, retry and hedging budgets, and waiting drafts of one pool."""
 
     def __init__(self, pool: Pool, clock: Clock, index: PrefixIndex) -> None:
         self.pool = pool
@@ -21,21 +21,21 @@
         self.strategy = make_strategy(pool.spec.strategy, index)
         self.budget = RetryBudget(pool.spec.retry_budget, clock.monotonic_s())
         self.hedging = HedgePolicy()
-        self.draft_room = DraftRoom(clock)
-        self.gates = {kind: ClassGate(limits_of(pool, kind), clock) for kind in RequestClass}
+        self.draft_waiters = DraftWaiters(clock)
+        self.gates = {kind: ClassGate(class_limits(pool, kind), clock) for kind in RequestClass}
 
     def reconfigure(self, pool: Pool) -> None:
-        """Take over a changed spec; requests in hand keep their places."""
+        """Apply a changed spec; requests in flight keep their slots."""
         if pool.spec.strategy != self.pool.spec.strategy:
             self.strategy = make_strategy(pool.spec.strategy, self._index)
         self.budget.ratio = pool.spec.retry_budget
         for kind, gate in self.gates.items():
-            gate.reconfigure(limits_of(pool, kind))
+            gate.reconfigure(class_limits(pool, kind))
         self.pool = pool
 
 
 class PoolRuntimes:
-    """The runtimes of all pools, made at first use."""
+    """The runtimes of all pools, created on first use; thread-safe."""
 
     def __init__(self, clock: Clock, index: PrefixIndex) -> None:
         self._clock = clock
@@ -44,12 +44,12 @@
         self._runtimes: dict[str, PoolRuntime] = {}
 
     def all(self) -> tuple[PoolRuntime, ...]:
-        """The runtimes made so far."""
+        """Return the runtimes created so far."""
         with self._lock:
             return tuple(self._runtimes.values())
 
     def of(self, pool: Pool) -> PoolRuntime:
-        """The runtime of a pool, in line with the given spec."""
+        """Return the runtime of a pool, reconfigured if the spec has changed."""
         name = pool.metadata.name
         runtime = self._runtimes.get(name)
         if runtime is not None and runtime.pool is pool:
@@ -64,8 +64,8 @@
             return runtime
 
 
-def limits_of(pool: Pool, kind: RequestClass) -> ClassLimits:
-    """The pool's limits of a class, or the default ones."""
+def class_limits(pool: Pool, kind: RequestClass) -> ClassLimits:
+    """Return the pool's limits for a request class, or the defaults."""
     named = pool.spec.limits.get(kind)
     if named is not None:
         return named
