--- a/features/steps/routing_stream_steps.py
+++ b/features/steps/routing_stream_steps.py
@@ -98,14 +98,14 @@
     context.cleanup.callback(pool.shutdown)
     pool.submit(list, context.generation)
     context.cleanup.callback(context.generation.cancel)
-    wait_until(lambda: len(context.generation._had) == 3, "the stream is silent")
+    wait_until(lambda: len(context.generation._generated) == 3, "the stream is silent")
 
 
 @then("routing's watch leaves the stream alone")
 def step_left_alone(context):
     context.generation._reading_since_s -= 1000.0
-    context.node._watch.look()
-    assert context.generation._silenced is None
+    context.node._watch.check_streams()
+    assert context.generation._timed_out_attempt_id is None
 
 
 @when("routing's workers have all failed until their circuits opened and work again")
--- a/src/bellweir/routing/answers.py
+++ b/src/bellweir/routing/answers.py
@@ -11,12 +11,12 @@
     PlatformError,
 )
 
-BUFFERED_ANSWER_BYTES = 64 * 1024
+MAX_BUFFERED_ANSWER_BYTES = 64 * 1024
 """Answers up to this declared length are read whole before their status is passed on, so that
 one cut short can still be retried or refused."""
 
 
-class HeldBody(Iterator[bytes]):
+class TrackedBody(Iterator[bytes]):
     """A body that gives back what its request holds when it ends, fails or is closed."""
 
     def __init__(self, body: Iterator[bytes], on_end: Callable[[BaseException | None], None]):
--- a/src/bellweir/routing/application_requests.py
+++ b/src/bellweir/routing/application_requests.py
@@ -7,18 +7,18 @@
 from bellweir.kernel.clock import Clock
 from bellweir.resources.models import BackendKind, RequestClass
 from bellweir.routing.admissions import Admission, Admissions, not_configured, not_run
-from bellweir.routing.answers import HeldBody, with_body
+from bellweir.routing.answers import TrackedBody, with_body
 from bellweir.routing.counters import COMPLETED, CUT, DispatchCounters
-from bellweir.routing.forwarding import Forwarder, class_of, is_repeatable
+from bellweir.routing.forwarding import Forwarder, effective_class, is_retry_safe
 from bellweir.routing.hedging import Hedger
 from bellweir.routing.interface import ApplicationRequest, Refusal, RefusalReason
 from bellweir.routing.once import OnceRequests
 from bellweir.routing.pool_runtime import PoolRuntime, PoolRuntimes
 from bellweir.routing.request_body import BodyTruncatedError, RequestBody
 
-HEDGED_BODY_BYTES = 64 * 1024
+MAX_HEDGED_BODY_BYTES = 64 * 1024
 """Longest body of a lookup that may be hedged: both attempts send it from memory."""
-HEDGED_RUNNING = 16
+MAX_RUNNING_FOR_HEDGING = 16
 """Lookups running above which none is hedged: more load does not make a busy pool faster."""
 
 
@@ -55,7 +55,7 @@
             refusal = not_run(RefusalReason.NO_SUCH_POOL, detail, None)
             return Failure(self._once.refuse(request, refusal, None))
         runtime = self._runtimes.of(pool)
-        kind = class_of(request, pool)
+        kind = effective_class(request, pool)
         deadline_s = request.deadline_monotonic_s
         match self._admissions.admit(runtime, kind, request.caller, deadline_s):
             case Failure(refusal):
@@ -78,7 +78,7 @@
             raise
         match answered:
             case Success(answer):
-                return Success(self._held(answer, admission))
+                return Success(self._track_body(answer, admission))
             case Failure(refusal):
                 self._admissions.end(admission)
                 return Failure(refusal)
@@ -94,13 +94,13 @@
         if kind is RequestClass.ONCE:
             return self._send_once(request, runtime, deadline_s)
         if kind is RequestClass.LOOKUP:
-            return self._look_up(request, runtime, deadline_s)
+            return self._send_lookup(request, runtime, deadline_s)
         return self._forwarder.forward(
             request,
             RequestBody(request.body, request.body_length),
             runtime,
             deadline_s,
-            repeatable=is_repeatable(request, kind, runtime.pool),
+            retry_safe=is_retry_safe(request, kind, runtime.pool),
             on_latency=runtime.gates[kind].note_latency,
         )
 
@@ -116,19 +116,19 @@
                 body,
                 runtime,
                 deadline_s,
-                repeatable=False,
+                retry_safe=False,
                 on_latency=runtime.gates[RequestClass.ONCE].note_latency,
                 before_send=check,
             ),
         )
 
-    def _look_up(
+    def _send_lookup(
         self, request: ApplicationRequest, runtime: PoolRuntime, deadline_s: float
     ) -> Result[ApplicationAnswer, Refusal]:
         """Forward a lookup, hedged when it is small and the node is not busy with others."""
         body = RequestBody(request.body, request.body_length)
         gate = runtime.gates[RequestClass.LOOKUP]
-        began_s = self._clock.monotonic_s()
+        started_s = self._clock.monotonic_s()
 
         def attempt(used: set[str]) -> Result[ApplicationAnswer, Refusal]:
             return self._forwarder.forward(
@@ -136,28 +136,28 @@
                 body,
                 runtime,
                 deadline_s,
-                repeatable=True,
+                retry_safe=True,
                 on_latency=gate.note_latency,
                 used=used,
             )
 
         delay_s = runtime.hedging.delay_s
-        small = body.length is not None and body.length <= HEDGED_BODY_BYTES
-        if delay_s is None or not small or gate.running > HEDGED_RUNNING:
+        small = body.length is not None and body.length <= MAX_HEDGED_BODY_BYTES
+        if delay_s is None or not small or gate.running > MAX_RUNNING_FOR_HEDGING:
             answered = attempt(set())
         else:
             try:
-                body.read_whole(HEDGED_BODY_BYTES)
+                body.read_whole(MAX_HEDGED_BODY_BYTES)
             except BodyTruncatedError as failure:
                 return Failure(not_run(RefusalReason.INVALID, f"body: {failure}", None))
             answered = self._hedger.run(attempt, runtime.hedging, delay_s)
         if isinstance(answered, Success):
-            runtime.hedging.sample(self._clock.monotonic_s() - began_s)
+            runtime.hedging.sample(self._clock.monotonic_s() - started_s)
         return answered
 
-    def _held(self, answer: ApplicationAnswer, admission: Admission) -> ApplicationAnswer:
+    def _track_body(self, answer: ApplicationAnswer, admission: Admission) -> ApplicationAnswer:
         def on_end(failure: BaseException | None) -> None:
             self._counters.count_outcome(COMPLETED if failure is None else CUT)
             self._admissions.end(admission)
 
-        return with_body(answer, HeldBody(answer.body, on_end))
+        return with_body(answer, TrackedBody(answer.body, on_end))
--- a/src/bellweir/routing/attempts.py
+++ b/src/bellweir/routing/attempts.py
@@ -10,20 +10,20 @@
 from bellweir.routing.interface import Refusal, RefusalReason, RunState
 from bellweir.routing.retry_budget import RetryBudget, backoff_s
 
-MAXIMUM_ATTEMPTS = 3
-PATIENCE_S = 1.0
+MAX_ATTEMPTS = 3
+MAX_BACKEND_WAIT_S = 1.0
 """Longest wait, in all, for a back end that answers but is not ready, as while weights are
 swapped; a refusal after it is final."""
-PATIENCE_POLL_S = 0.02
+BACKEND_POLL_INTERVAL_S = 0.02
 RETRY_AFTER_S = 1.0
 """When to come back after a refusal that a probe or a closed circuit may mend."""
 
 SLOW_ATTEMPT_S = 5.0
 """An attempt that had this long and got no answer by its deadline counts against the back end."""
 UNHEALTHY_KINDS = frozenset({ErrorKind.NOT_RUN, ErrorKind.UNKNOWN})
-ABSENT_KINDS = frozenset({ErrorKind.NOT_RUN, ErrorKind.LEAVING})
+UNAVAILABLE_KINDS = frozenset({ErrorKind.NOT_RUN, ErrorKind.LEAVING})
 """Errors after which no back end is there for the request, rather than one that failed it."""
-FINAL_KINDS = frozenset({ErrorKind.INVALID, ErrorKind.NOT_FOUND})
+NON_RETRYABLE_KINDS = frozenset({ErrorKind.INVALID, ErrorKind.NOT_FOUND})
 """Errors that another back end would answer with as well."""
 
 
@@ -32,14 +32,14 @@
     return f"{request_id}/{secrets.token_hex(6)}"
 
 
-class AttemptHold:
+class AttemptSlot:
     """An attempt's place on its back end; ended once, from any thread."""
 
     def __init__(
         self, backend: Backend, clock: Clock, deadline_s: float, *, interactive: bool
     ) -> None:
         self.backend = backend
-        self._began_s = clock.monotonic_s()
+        self._started_s = clock.monotonic_s()
         self._deadline_s = deadline_s
         self._clock = clock
         self._ended = False
@@ -58,33 +58,33 @@
         """End it without a word on the back end's health."""
         self._end(healthy=None)
 
-    def note_leaving(self, source: str) -> None:
+    def mark_leaving(self, source: str) -> None:
         """Note that the back end has said that it leaves."""
         self.backend.mark_leaving(self._clock.monotonic_s(), source)
 
     def fail(self, error: PlatformError) -> None:
         """End it after an error of the back end."""
         if error.kind is ErrorKind.LEAVING:
-            self.note_leaving("refusal")
+            self.mark_leaving("refusal")
         if error.kind is ErrorKind.NOT_RUN:
-            self._note_absence(error)
+            self._mark_unavailable(error)
         unhealthy = error.kind in UNHEALTHY_KINDS and not error.answered
-        unhealthy = unhealthy and not self._was_hurried()
+        unhealthy = unhealthy and not self._had_short_deadline()
         self._end(healthy=False if unhealthy else None, detail=error.detail)
 
-    def _was_hurried(self) -> bool:
+    def _had_short_deadline(self) -> bool:
         """Whether it was its own short deadline that ended the attempt.
 
         A caller in a hurry proves nothing against a back end; one that hangs fails its probes.
         """
         now_s = self._clock.monotonic_s()
-        return now_s >= self._deadline_s and now_s - self._began_s < SLOW_ATTEMPT_S
+        return now_s >= self._deadline_s and now_s - self._started_s < SLOW_ATTEMPT_S
 
-    def _note_absence(self, error: PlatformError) -> None:
+    def _mark_unavailable(self, error: PlatformError) -> None:
         now_s = self._clock.monotonic_s()
         if not error.answered:
             self.backend.mark_unreachable(now_s)
-        elif _is_pause(error):
+        elif _is_temporarily_unready(error):
             self.backend.mark_unready(now_s)
 
     def _end(self, healthy: bool | None, detail: str = "") -> None:
@@ -107,33 +107,33 @@
         self.tried: set[str] = set()
         self.proved_not_run = True
         self._made_progress = False
-        self._no_room = False
+        self._no_draft_capacity = False
         self._waiting_since_s: float | None = None
 
     @property
-    def lacks_room(self) -> bool:
+    def lacks_draft_capacity(self) -> bool:
         """Whether nothing was tried because drafts fill every engine as far as they may."""
-        return self._no_room and self._last_error is None
+        return self._no_draft_capacity and self._last_error is None
 
-    def note_no_room(self) -> None:
+    def record_no_draft_capacity(self) -> None:
         """Note that drafts fill every engine as far as they may."""
-        self._no_room = True
+        self._no_draft_capacity = True
 
-    def note_failure(self, backend: Backend, error: PlatformError) -> None:
+    def record_failure(self, backend: Backend, error: PlatformError) -> None:
         """Note a failed attempt."""
         self._failed += 1
         self._last_error = error
-        if not _is_pause(error):
+        if not _is_temporarily_unready(error):
             self.tried.add(backend.name)
         self.proved_not_run = self.proved_not_run and error.proves_not_run
 
-    def note_progress(self, backend: Backend) -> None:
+    def record_progress(self, backend: Backend) -> None:
         """Note that the failed attempt had brought the request forward: it counts no more."""
         self._failed = 0
         self._made_progress = True
         self.tried = {backend.name}
 
-    def may_retry(self, *, repeatable: bool) -> bool:
+    def may_retry(self, *, retry_safe: bool) -> bool:
         """Whether another attempt is allowed; takes it from the budget and waits a little.
 
         A refusal because the back end leaves costs no budget: each back end says it once.
@@ -142,13 +142,13 @@
         not asked again before it is seen ready.
         """
         error = self._last_error
-        if error is None or error.kind in FINAL_KINDS:
+        if error is None or error.kind in NON_RETRYABLE_KINDS:
             return False
-        if not error.proves_not_run and not repeatable:
+        if not error.proves_not_run and not retry_safe:
             return False
         if self._failed == 0 or error.kind is ErrorKind.LEAVING:
             return not self._past_deadline()
-        if self._failed >= MAXIMUM_ATTEMPTS and not _is_pause(error):
+        if self._failed >= MAX_ATTEMPTS and not _is_temporarily_unready(error):
             return False
         if not self._budget.withdraw(self._now_s()):
             return False
@@ -160,10 +160,10 @@
         now_s = self._now_s()
         if self._waiting_since_s is None:
             self._waiting_since_s = now_s
-        until_s = min(self._waiting_since_s + PATIENCE_S, self._deadline_s)
+        until_s = min(self._waiting_since_s + MAX_BACKEND_WAIT_S, self._deadline_s)
         if now_s >= until_s or not any(backend.may_return() for backend in backends):
             return False
-        self._clock.wait(threading.Event(), PATIENCE_POLL_S)
+        self._clock.wait(threading.Event(), BACKEND_POLL_INTERVAL_S)
         return True
 
     def refusal(self) -> Refusal:
@@ -172,18 +172,18 @@
         error = self._last_error
         if self._past_deadline():
             return Refusal(RefusalReason.DEADLINE, state, "the deadline has passed")
-        if self._no_room:
+        if self._no_draft_capacity:
             detail = "drafts fill every engine as far as they may"
             return Refusal(RefusalReason.OVERLOADED, state, detail, RETRY_AFTER_S)
         if error is None:
             detail = "no ready back end serves this request"
             return Refusal(RefusalReason.NO_BACKEND, state, detail, RETRY_AFTER_S)
         retry_after_s = error.retry_after_s or RETRY_AFTER_S
-        if error.kind in FINAL_KINDS:
+        if error.kind in NON_RETRYABLE_KINDS:
             return Refusal(RefusalReason.INVALID, state, error.detail)
         if error.kind is ErrorKind.OVERLOADED:
             return Refusal(RefusalReason.OVERLOADED, state, error.detail, retry_after_s)
-        if error.kind in ABSENT_KINDS:
+        if error.kind in UNAVAILABLE_KINDS:
             return Refusal(RefusalReason.NO_BACKEND, state, error.detail, retry_after_s)
         return Refusal(RefusalReason.BACKEND_FAILED, state, error.detail, retry_after_s)
 
@@ -199,6 +199,6 @@
         return self._now_s() >= self._deadline_s
 
 
-def _is_pause(error: PlatformError) -> bool:
+def _is_temporarily_unready(error: PlatformError) -> bool:
     """Whether the back end itself says that it serves nothing just now, but soon will."""
     return error.kind is ErrorKind.NOT_RUN and error.answered and error.retry_after_s is not None
--- a/src/bellweir/routing/cancellations.py
+++ b/src/bellweir/routing/cancellations.py
@@ -8,7 +8,7 @@
 from bellweir.clients.interface import Engine
 from bellweir.kernel.executors import Executors, ExecutorSaturatedError, WorkKind
 
-MOST_PENDING = 256
+MAX_PENDING = 256
 """Attempts of one engine that wait to be cancelled; the oldest are forgotten first."""
 
 
@@ -31,7 +31,7 @@
             if running is not None:
                 running.append(attempt_id)
                 return
-            self._pending[worker] = deque((attempt_id,), maxlen=MOST_PENDING)
+            self._pending[worker] = deque((attempt_id,), maxlen=MAX_PENDING)
         try:
             self._executors.submit(WorkKind.BACKGROUND, self._cancel_all, worker, engine)
         except (ExecutorSaturatedError, RuntimeError):
--- a/src/bellweir/routing/forwarding.py
+++ b/src/bellweir/routing/forwarding.py
@@ -17,13 +17,13 @@
 from bellweir.kernel.clock import Clock
 from bellweir.resources.models import Pool, RequestClass
 from bellweir.routing.answers import (
-    BUFFERED_ANSWER_BYTES,
-    HeldBody,
+    MAX_BUFFERED_ANSWER_BYTES,
+    TrackedBody,
     declared_length,
     read_whole,
     with_body,
 )
-from bellweir.routing.attempts import AttemptHold, RequestAttempts, new_attempt_id
+from bellweir.routing.attempts import AttemptSlot, RequestAttempts, new_attempt_id
 from bellweir.routing.backend import Backend
 from bellweir.routing.candidates import candidates
 from bellweir.routing.counters import DispatchCounters
@@ -37,14 +37,14 @@
 UNSAFE_METHODS = frozenset({"POST", "PUT", "PATCH", "DELETE"})
 
 
-def class_of(request: ApplicationRequest, pool: Pool) -> RequestClass:
+def effective_class(request: ApplicationRequest, pool: Pool) -> RequestClass:
     """The class a request is served in: the pool's `oncePaths` go before the caller's word."""
     if request.method.upper() in UNSAFE_METHODS and _under(request.path, pool.spec.once_paths):
         return RequestClass.ONCE
     return request.request_class
 
 
-def is_repeatable(request: ApplicationRequest, kind: RequestClass, pool: Pool) -> bool:
+def is_retry_safe(request: ApplicationRequest, kind: RequestClass, pool: Pool) -> bool:
     """Whether running it twice does no harm.
 
     An interactive POST is repeated only when the operator has said by `oncePaths` which paths
@@ -62,10 +62,14 @@
 
     Compared in decoded and normalized form, so that no spelling of a path escapes the rule.
     """
-    plain = normpath("/" + unquote(path.partition("?")[0]).lstrip("/"))
+    normalized = normpath("/" + unquote(path.partition("?")[0]).lstrip("/"))
     for prefix in prefixes:
-        bare = "/" + prefix.strip("/")
-        if bare == "/" or plain == bare or plain.startswith(bare + "/"):
+        normalized_prefix = "/" + prefix.strip("/")
+        if (
+            normalized_prefix == "/"
+            or normalized == normalized_prefix
+            or normalized.startswith(normalized_prefix + "/")
+        ):
             return True
     return False
 
@@ -94,7 +98,7 @@
         runtime: PoolRuntime,
         deadline_s: float,
         *,
-        repeatable: bool,
+        retry_safe: bool,
         on_latency: Callable[[float], None],
         before_send: Callable[[], Refusal | None] = lambda: None,
         used: set[str] | None = None,
@@ -117,16 +121,16 @@
                 return Failure(refusal)
             if used is not None:
                 used.add(backend.name)
-            began_s = self._clock.monotonic_s()
+            started_s = self._clock.monotonic_s()
             match self._attempt(request, body, backend, deadline_s):
                 case Success(answer):
                     now_s = self._clock.monotonic_s()
-                    on_latency(now_s - began_s)
+                    on_latency(now_s - started_s)
                     runtime.budget.on_success(now_s)
                     return Success(answer)
                 case Failure(error):
-                    attempts.note_failure(backend, error)
-            if not body.replayable or not attempts.may_retry(repeatable=repeatable):
+                    attempts.record_failure(backend, error)
+            if not body.replayable or not attempts.may_retry(retry_safe=retry_safe):
                 return Failure(attempts.refusal())
 
     def _backends(self, runtime: PoolRuntime) -> tuple[Backend, ...]:
@@ -155,50 +159,50 @@
             timeout_s=max(0.001, deadline_s - self._clock.monotonic_s()),
         )
         interactive = request.request_class is not RequestClass.DRAFT
-        hold = AttemptHold(backend, self._clock, deadline_s, interactive=interactive)
+        slot = AttemptSlot(backend, self._clock, deadline_s, interactive=interactive)
         self._counters.count_attempt()
         try:
             sent = self._clients.application(backend.address).send(call)
         except BaseException:
-            hold.abandon()
+            slot.abandon()
             raise
         match sent:
             case Success(answer):
-                return self._take_answer(answer, hold)
+                return self._take_answer(answer, slot)
             case Failure(error):
-                hold.fail(error)
+                slot.fail(error)
         return sent
 
     def _take_answer(
-        self, answer: ApplicationAnswer, hold: AttemptHold
+        self, answer: ApplicationAnswer, slot: AttemptSlot
     ) -> Result[ApplicationAnswer, PlatformError]:
         if answer.leaving:
-            hold.note_leaving("answer")
+            slot.mark_leaving("answer")
         length = declared_length(answer)
-        if length is None or length > BUFFERED_ANSWER_BYTES:
-            hold.note_healthy()
-            return Success(with_body(answer, HeldBody(answer.body, _ender(hold))))
-        match read_whole(answer, BUFFERED_ANSWER_BYTES):
+        if length is None or length > MAX_BUFFERED_ANSWER_BYTES:
+            slot.note_healthy()
+            return Success(with_body(answer, TrackedBody(answer.body, _on_body_end(slot))))
+        match read_whole(answer, MAX_BUFFERED_ANSWER_BYTES):
             case Success(None):
                 error = PlatformError(ErrorKind.UNKNOWN, "the answer is longer than it declared")
-                hold.fail(error)
+                slot.fail(error)
                 return Failure(error)
             case Success(whole):
-                hold.succeed()
+                slot.succeed()
                 return Success(with_body(answer, iter((whole,) if whole else ())))
             case Failure(error):
-                hold.fail(error)
+                slot.fail(error)
                 return Failure(error)
         raise AssertionError("a result is a success or a failure")
 
 
-def _ender(hold: AttemptHold) -> Callable[[BaseException | None], None]:
+def _on_body_end(slot: AttemptSlot) -> Callable[[BaseException | None], None]:
     def end(failure: BaseException | None) -> None:
         if failure is None:
-            hold.succeed()
+            slot.succeed()
         elif isinstance(failure, IncompleteBodyError):
-            hold.fail(PlatformError(ErrorKind.UNKNOWN, str(failure)))
+            slot.fail(PlatformError(ErrorKind.UNKNOWN, str(failure)))
         else:
-            hold.abandon()
+            slot.abandon()
 
     return end
--- a/src/bellweir/routing/generation.py
+++ b/src/bellweir/routing/generation.py
@@ -27,12 +27,14 @@
 )
 from bellweir.routing.log_events import GENERATION_RESUMED
 
-CUT = PlatformError(ErrorKind.UNKNOWN, "the stream ended without an end marker")
-GIVEN_UP = PlatformError(ErrorKind.UNKNOWN, "the engine gave the request up", answered=True)
+TRUNCATED_STREAM = PlatformError(ErrorKind.UNKNOWN, "the stream ended without an end marker")
+CANCELLED_BY_ENGINE = PlatformError(
+    ErrorKind.UNKNOWN, "the engine gave the request up", answered=True
+)
 
 
 @dataclass(frozen=True)
-class SilenceLimits:
+class IdleTimeouts:
     """Longest silence of an engine before another one goes on."""
 
     first_token_s: float
@@ -40,9 +42,9 @@
     next_token_s: float
 
 
-INTERACTIVE_SILENCE = SilenceLimits(first_token_s=2.0, next_token_s=1.0)
-DRAFT_SILENCE = SilenceLimits(first_token_s=30.0, next_token_s=10.0)
-UNREACHABLE_SILENCE_S = 0.3
+INTERACTIVE_IDLE_TIMEOUTS = IdleTimeouts(first_token_s=2.0, next_token_s=1.0)
+DRAFT_IDLE_TIMEOUTS = IdleTimeouts(first_token_s=30.0, next_token_s=10.0)
+UNREACHABLE_IDLE_TIMEOUT_S = 0.3
 """Silence after which an engine that can't be probed any more is given up, for all classes."""
 
 
@@ -82,21 +84,21 @@
         self._deadline_s = deadline_s
         self._clock = clock
         self._listener = listener
-        self._began_s = clock.monotonic_s()
-        self._had: tuple[int, ...] = ()
+        self._started_s = clock.monotonic_s()
+        self._generated: tuple[int, ...] = ()
         self._last_version = 0
         self._lock = threading.Lock()
         self._ended = False
         self._cancelled = False
         self._attempt_tokens = 0
         self._reading_since_s: float | None = None
-        self._silenced: str | None = None
+        self._timed_out_attempt_id: str | None = None
         """Id of the last attempt that was given up for silence."""
 
     @property
     def token_count(self) -> int:
         """Tokens had so far, without those the request came with."""
-        return len(self._had)
+        return len(self._generated)
 
     def __iter__(self) -> Iterator[Result[GenerationChunk, Refusal]]:
         """Yield chunks to the finish reason, or end with one refusal."""
@@ -123,13 +125,13 @@
     def _items(self) -> Iterator[Result[GenerationChunk, Refusal]]:
         while True:
             attempt = self._attempt
-            had_before = len(self._had)
+            tokens_before = len(self._generated)
             error = yield from self._attempt_items(attempt)
             if error is None or self._cancelled:
                 return
-            self._note_failure(attempt, error, progressed=len(self._had) > had_before)
-            if len(self._request.prefix_tokens) + len(self._had) >= self._request.max_tokens:
-                yield Success(self._closing_chunk(attempt))
+            self._record_failure(attempt, error, progressed=len(self._generated) > tokens_before)
+            if len(self._request.prefix_tokens) + len(self._generated) >= self._request.max_tokens:
+                yield Success(self._final_chunk(attempt))
                 return
             refusal = self._resume()
             if refusal is not None:
@@ -149,33 +151,33 @@
                 return failed
             chunk = item.unwrap()
             if chunk.finish_reason is FinishReason.CANCELLED:
-                return GIVEN_UP  # not asked for here
+                return CANCELLED_BY_ENGINE  # not asked for here
             if chunk.finish_reason is not None:
-                yield from self._last(chunk, attempt, chunks)
+                yield from self._finish_attempt(chunk, attempt, chunks)
                 return None
             yield Success(self._accept(chunk, attempt))
             if self._past_deadline():
-                yield Failure(self._give_up(attempt))
+                yield Failure(self._cancel_at_deadline(attempt))
                 return None
-        return CUT
+        return TRUNCATED_STREAM
 
-    def _note_failure(
+    def _record_failure(
         self, attempt: RunningAttempt, error: PlatformError, *, progressed: bool
     ) -> None:
-        attempt.hold.fail(error)
+        attempt.slot.fail(error)
         attempt.stream.close()
-        self._attempts.note_failure(attempt.hold.backend, error)
+        self._attempts.record_failure(attempt.slot.backend, error)
         if progressed:
-            self._attempts.note_progress(attempt.hold.backend)
+            self._attempts.record_progress(attempt.slot.backend)
 
-    def _last(
+    def _finish_attempt(
         self,
         chunk: TokenChunk,
         attempt: RunningAttempt,
         chunks: Iterator[Result[TokenChunk, PlatformError]],
     ) -> Iterator[Result[GenerationChunk, Refusal]]:
         """End the attempt, then pass its last chunk on: nobody has to ask for more after it."""
-        attempt.hold.succeed()
+        attempt.slot.succeed()
         try:
             yield Success(self._accept(chunk, attempt))
         finally:
@@ -193,7 +195,7 @@
                 return
             yield item
 
-    def check_silence(self) -> None:
+    def check_idle_timeout(self) -> None:
         """Give up the running attempt when its engine is silent and another one could go on.
 
         Called by the watch, from its own thread. The reading thread sees the closed stream as
@@ -202,65 +204,65 @@
         since_s = self._reading_since_s
         with self._lock:
             attempt = self._attempt
-            if since_s is None or self._ended or attempt.attempt_id == self._silenced:
+            if since_s is None or self._ended or attempt.attempt_id == self._timed_out_attempt_id:
                 return
         now_s = self._clock.monotonic_s()
         late = now_s >= self._deadline_s
-        if not late and not self._is_silent(attempt, now_s - since_s):
+        if not late and not self._is_idle(attempt, now_s - since_s):
             return
         if late or self._starter.has_alternative(attempt, self._route):
-            self._silenced = attempt.attempt_id
-            self._starter.drop(attempt)
+            self._timed_out_attempt_id = attempt.attempt_id
+            self._starter.abort(attempt)
 
-    def _is_silent(self, attempt: RunningAttempt, silence_s: float) -> bool:
+    def _is_idle(self, attempt: RunningAttempt, idle_s: float) -> bool:
         draft = self._request.request_class is RequestClass.DRAFT
-        limits = DRAFT_SILENCE if draft else INTERACTIVE_SILENCE
-        report = attempt.hold.backend.report
+        limits = DRAFT_IDLE_TIMEOUTS if draft else INTERACTIVE_IDLE_TIMEOUTS
+        report = attempt.slot.backend.report
         if report is not None and not report.reachable:
-            return silence_s >= UNREACHABLE_SILENCE_S
+            return idle_s >= UNREACHABLE_IDLE_TIMEOUT_S
         if self._attempt_tokens:
-            return silence_s >= limits.next_token_s
-        if attempt.hold.backend.queues:
-            limits = DRAFT_SILENCE  # waiting for a place is no silence
-        return silence_s >= limits.first_token_s
+            return idle_s >= limits.next_token_s
+        if attempt.slot.backend.queues:
+            limits = DRAFT_IDLE_TIMEOUTS  # waiting for a place is no silence
+        return idle_s >= limits.first_token_s
 
     def _accept(self, chunk: TokenChunk, attempt: RunningAttempt) -> GenerationChunk:
-        if not self._had:
-            self._listener.on_first_token(self._clock.monotonic_s() - self._began_s)
+        if not self._generated:
+            self._listener.on_first_token(self._clock.monotonic_s() - self._started_s)
         if not self._attempt_tokens:
-            attempt.hold.note_healthy()
+            attempt.slot.note_healthy()
         self._attempt_tokens += len(chunk.tokens)
-        self._had += chunk.tokens
+        self._generated += chunk.tokens
         self._last_version = chunk.weight_version
         return GenerationChunk(
             tokens=chunk.tokens,
             text=chunk.text,
             weight_version=chunk.weight_version,
-            worker=attempt.hold.backend.name,
+            worker=attempt.slot.backend.name,
             finish_reason=chunk.finish_reason,
         )
 
-    def _closing_chunk(self, attempt: RunningAttempt) -> GenerationChunk:
+    def _final_chunk(self, attempt: RunningAttempt) -> GenerationChunk:
         """End an answer that had all its tokens when only the end marker was lost."""
         return GenerationChunk(
-            (), "", self._last_version, attempt.hold.backend.name, FinishReason.LENGTH
+            (), "", self._last_version, attempt.slot.backend.name, FinishReason.LENGTH
         )
 
     def _resume(self) -> Refusal | None:
         """Start the next attempt; a refusal when there is none to make."""
-        if not self._attempts.may_retry(repeatable=True):
+        if not self._attempts.may_retry(retry_safe=True):
             return self._attempts.refusal()
         started = self._starter.start(
-            self._request, self._route, self._had, self._deadline_s, self._attempts
+            self._request, self._route, self._generated, self._deadline_s, self._attempts
         )
         match started:
             case Success(attempt):
-                self._adopt(attempt)
+                self._switch_to(attempt)
                 return None
             case _:
                 return started.failure()
 
-    def _adopt(self, attempt: RunningAttempt) -> None:
+    def _switch_to(self, attempt: RunningAttempt) -> None:
         with self._lock:
             self._attempt = attempt
             cancelled = self._cancelled
@@ -272,11 +274,11 @@
             GENERATION_RESUMED,
             request_id=self._request.request_id,
             attempt_id=attempt.attempt_id,
-            worker=attempt.hold.backend.name,
-            tokens=len(self._had),
+            worker=attempt.slot.backend.name,
+            tokens=len(self._generated),
         )
 
-    def _give_up(self, attempt: RunningAttempt) -> Refusal:
+    def _cancel_at_deadline(self, attempt: RunningAttempt) -> Refusal:
         self._starter.cancel(attempt)
         return Refusal(RefusalReason.DEADLINE, RunState.RAN, "the deadline passed while it ran")
 
@@ -291,5 +293,5 @@
             attempt = self._attempt
         if outcome == CANCELLED:
             self._starter.cancel(attempt)
-        attempt.hold.abandon()  # nothing to do when it has ended, as it should have
+        attempt.slot.abandon()  # nothing to do when it has ended, as it should have
         self._listener.on_end(outcome)
--- a/src/bellweir/routing/generation_attempt.py
+++ b/src/bellweir/routing/generation_attempt.py
@@ -15,7 +15,7 @@
 from bellweir.kernel.executors import Executors
 from bellweir.resources.models import Pool, RequestClass
 from bellweir.routing.arm_counters import ArmName
-from bellweir.routing.attempts import AttemptHold, RequestAttempts, new_attempt_id
+from bellweir.routing.attempts import AttemptSlot, RequestAttempts, new_attempt_id
 from bellweir.routing.backend import Backend
 from bellweir.routing.cancellations import Cancellations
 from bellweir.routing.candidates import candidates
@@ -51,7 +51,7 @@
     attempt_id: str
     engine: Engine
     stream: EngineStream
-    hold: AttemptHold
+    slot: AttemptSlot
 
 
 class GenerationStarter:
@@ -95,38 +95,38 @@
         self,
         request: GenerationRequest,
         route: GenerationRoute,
-        had: tuple[int, ...],
+        generated_tokens: tuple[int, ...],
         deadline_s: float,
         attempts: RequestAttempts,
     ) -> Result[RunningAttempt, Refusal]:
         """Start an attempt after the tokens had, trying again as far as that is allowed."""
-        began_s = self._clock.monotonic_s()
+        started_s = self._clock.monotonic_s()
         while True:
-            started = self._start_once(request, route, had, deadline_s, attempts)
+            started = self._start_attempt(request, route, generated_tokens, deadline_s, attempts)
             match started:
                 case Success(attempt):
                     return Success(attempt)
                 case Failure(None):
-                    may_go_on = self._wait(route, attempts, began_s, deadline_s)
+                    may_continue = self._wait(route, attempts, started_s, deadline_s)
                 case _:
-                    may_go_on = attempts.may_retry(repeatable=True)
-            if not may_go_on:
+                    may_continue = attempts.may_retry(retry_safe=True)
+            if not may_continue:
                 return Failure(attempts.refusal())
 
     def _wait(
-        self, route: GenerationRoute, attempts: RequestAttempts, began_s: float, deadline_s: float
+        self, route: GenerationRoute, attempts: RequestAttempts, started_s: float, deadline_s: float
     ) -> bool:
         """Wait a little for room or for a back end; False when this request has to be refused."""
-        if attempts.lacks_room:
+        if attempts.lacks_draft_capacity:
             room = self._runtimes.of(self.pools_of(route.policy)[0]).draft_room
-            return room.wait_a_little(began_s, deadline_s)
+            return room.wait_a_little(started_s, deadline_s)
         return attempts.wait_for_backend(self._backends_of(route.policy))
 
-    def _start_once(
+    def _start_attempt(
         self,
         request: GenerationRequest,
         route: GenerationRoute,
-        had: tuple[int, ...],
+        generated_tokens: tuple[int, ...],
         deadline_s: float,
         attempts: RequestAttempts,
     ) -> Result[RunningAttempt, PlatformError | None]:
@@ -135,38 +135,38 @@
         if backend is None:
             return Failure(None)
         engine = self._clients.engine(backend.address)
-        call = self._call(request, route, had, deadline_s)
+        call = self._call(request, route, generated_tokens, deadline_s)
         interactive = request.request_class is not RequestClass.DRAFT
-        hold = AttemptHold(backend, self._clock, deadline_s, interactive=interactive)
+        slot = AttemptSlot(backend, self._clock, deadline_s, interactive=interactive)
         self._counters.count_attempt()
         try:
             started = engine.generate(call)
         except BaseException:
-            hold.abandon()
+            slot.abandon()
             raise
         match started:
             case Success(stream):
-                return Success(RunningAttempt(call.attempt_id, engine, stream, hold))
+                return Success(RunningAttempt(call.attempt_id, engine, stream, slot))
             case Failure(error):
-                hold.fail(error)
-                attempts.note_failure(backend, error)
+                slot.fail(error)
+                attempts.record_failure(backend, error)
                 return Failure(error)
         raise AssertionError("a result is a success or a failure")
 
     def cancel(self, attempt: RunningAttempt) -> None:
         """Drop an attempt: its connection at once, its work on the engine by a call aside."""
-        attempt.hold.abandon()
-        self.drop(attempt)
+        attempt.slot.abandon()
+        self.abort(attempt)
 
-    def drop(self, attempt: RunningAttempt) -> None:
+    def abort(self, attempt: RunningAttempt) -> None:
         """Close an attempt's connection and tell its engine, without a word on its health."""
         attempt.stream.close()
-        worker = attempt.hold.backend.key
+        worker = attempt.slot.backend.key
         self._cancellations.cancel(worker, attempt.engine, attempt.attempt_id)
 
     def has_alternative(self, attempt: RunningAttempt, route: GenerationRoute) -> bool:
         """Whether another engine could go on with an attempt now."""
-        current = {attempt.hold.backend.name}
+        current = {attempt.slot.backend.name}
         return bool(
             candidates(
                 self._backends_of(route.policy),
@@ -200,23 +200,23 @@
         self, usable: list[Backend], now_s: float, attempts: RequestAttempts
     ) -> list[Backend]:
         share = self._draft_share
-        roomy = [backend for backend in usable if backend.has_draft_room(share, now_s)]
-        if not roomy:
-            attempts.note_no_room()
-        return roomy
+        with_capacity = [backend for backend in usable if backend.has_draft_room(share, now_s)]
+        if not with_capacity:
+            attempts.record_no_draft_capacity()
+        return with_capacity
 
     def _call(
         self,
         request: GenerationRequest,
         route: GenerationRoute,
-        had: tuple[int, ...],
+        generated_tokens: tuple[int, ...],
         deadline_s: float,
     ) -> GenerationCall:
         return GenerationCall(
             attempt_id=new_attempt_id(request.request_id),
             request_id=request.request_id,
             prompt=request.prompt,
-            prefix_tokens=request.prefix_tokens + had,
+            prefix_tokens=request.prefix_tokens + generated_tokens,
             max_tokens=request.max_tokens,
             priority=ENGINE_PRIORITY[request.request_class],
             model=route.model,
--- a/src/bellweir/routing/generation_requests.py
+++ b/src/bellweir/routing/generation_requests.py
@@ -17,7 +17,7 @@
 )
 from bellweir.routing.interface import Generation, GenerationRequest, Refusal, RefusalReason
 from bellweir.routing.pool_runtime import PoolRuntime, PoolRuntimes
-from bellweir.routing.stream_watch import StreamWatch
+from bellweir.routing.stream_watchdog import StreamWatchdog
 
 
 class GenerationRequests:
@@ -29,7 +29,7 @@
         admissions: Admissions,
         runtimes: PoolRuntimes,
         starter: GenerationStarter,
-        watch: StreamWatch,
+        watch: StreamWatchdog,
         counters: DispatchCounters,
         arms: ArmCounters,
         clock: Clock,
@@ -47,7 +47,7 @@
         """Admit a generation and start its first attempt."""
         if not self._configuration.is_ready():
             return Failure(not_configured())
-        match route_of(request, self._configuration.current()):
+        match resolve_route(request, self._configuration.current()):
             case Failure(refusal):
                 return Failure(refusal)
             case Success(route):
@@ -72,7 +72,7 @@
         runtime: PoolRuntime,
         admission: Admission,
     ) -> Result[Generation, Refusal]:
-        began_s = self._clock.monotonic_s()
+        started_s = self._clock.monotonic_s()
         attempts = RequestAttempts(runtime.budget, self._clock, admission.deadline_s)
         try:
             started = self._starter.start(request, route, (), admission.deadline_s, attempts)
@@ -84,13 +84,13 @@
                 self._admissions.end(admission)
                 return Failure(refusal)
             case Success(first):
-                running = self._running(
-                    request, route, runtime, admission, attempts, first, began_s
+                running = self._create_generation(
+                    request, route, runtime, admission, attempts, first, started_s
                 )
                 return Success(running)
         raise AssertionError("a result is a success or a failure")
 
-    def _running(
+    def _create_generation(
         self,
         request: GenerationRequest,
         route: GenerationRoute,
@@ -98,7 +98,7 @@
         admission: Admission,
         attempts: RequestAttempts,
         first: RunningAttempt,
-        began_s: float,
+        started_s: float,
     ) -> RoutedGeneration:
         note_latency = runtime.gates[request.request_class].note_latency
         if route.arm is not None:
@@ -108,13 +108,13 @@
             note_latency(latency_s)
             if route.arm is not None:
                 # From before the first attempt: an engine may answer with its first token only.
-                self._arms.count_first_token(route.arm, self._clock.monotonic_s() - began_s)
+                self._arms.count_first_token(route.arm, self._clock.monotonic_s() - started_s)
 
         def on_end(outcome: str) -> None:
             self._watch.remove(generation)
             self._counters.count_outcome(outcome)
             if route.arm is not None:
-                took_s = self._clock.monotonic_s() - began_s
+                took_s = self._clock.monotonic_s() - started_s
                 self._arms.count_end(route.arm, outcome, generation.token_count, took_s)
             if outcome == COMPLETED:
                 runtime.budget.on_success(self._clock.monotonic_s())
@@ -134,7 +134,7 @@
         return generation
 
 
-def route_of(
+def resolve_route(
     request: GenerationRequest, snapshot: ConfigurationSnapshot
 ) -> Result[GenerationRoute, Refusal]:
     """What the request's policy asks of an engine, after the policy's comparison."""
--- a/src/bellweir/routing/once.py
+++ b/src/bellweir/routing/once.py
@@ -25,17 +25,17 @@
 from bellweir.routing.outcome_recorder import ClaimHolder, OutcomeRecorder
 from bellweir.routing.request_body import BodyTooLongError, BodyTruncatedError, RequestBody
 
-BODY_LIMIT_BYTES = 1024 * 1024
+MAX_BODY_BYTES = 1024 * 1024
 """Longest body of a request that must not be repeated: it is fingerprinted before it is sent."""
-RECORD_LIMIT_BYTES = 256 * 1024
+MAX_RECORDED_ANSWER_BYTES = 256 * 1024
 """Longest answer kept for repeats; a longer one is passed on, but repeats get no copy."""
 CLAIM_TIMEOUT_S = 3.0
-CLAIM_USE_S = 60.0
-CLAIM_USE_WINDOW_SHARE = 0.5
-"""A claim older than `CLAIM_USE_S` or than this share of its window is not used any more: a
+MAX_CLAIM_AGE_S = 60.0
+MAX_CLAIM_AGE_WINDOW_FRACTION = 0.5
+"""A claim older than `MAX_CLAIM_AGE_S` or than this share of its window is not used any more: a
 holder that was paused for so long may wake up when the key has been given to somebody else."""
 KEY_HEADER = "Idempotency-Key"
-KEY_LIMIT_CHARACTERS = 255
+MAX_KEY_CHARACTERS = 255
 LOOK_UP_TIMEOUT_S = 0.5
 REPLAYED_HEADER = ("Idempotency-Replayed", "true")
 
@@ -66,15 +66,15 @@
             if not pool.spec.generate_keys:
                 detail = "a request that must not be repeated needs an Idempotency-Key"
                 return Failure(Refusal(RefusalReason.KEY_MISSING, RunState.NOT_RUN, detail))
-            key = fresh_key(self._clock.wall_s())
+            key = generate_key(self._clock.wall_s())
             headers = (*request.headers, (KEY_HEADER, key))
             request = replace(request, headers=headers, idempotency_key=key)
-        if not is_usable_key(key):
-            detail = f"an Idempotency-Key has 1 to {KEY_LIMIT_CHARACTERS} printable characters"
+        if not is_valid_key(key):
+            detail = f"an Idempotency-Key has 1 to {MAX_KEY_CHARACTERS} printable characters"
             return Failure(Refusal(RefusalReason.INVALID, RunState.NOT_RUN, detail))
         body = RequestBody(request.body, request.body_length)
         try:
-            fingerprint = fingerprint_of(request, body.read_whole(BODY_LIMIT_BYTES))
+            fingerprint = fingerprint_of(request, body.read_whole(MAX_BODY_BYTES))
         except (BodyTooLongError, BodyTruncatedError) as failure:
             return Failure(Refusal(RefusalReason.INVALID, RunState.NOT_RUN, f"body: {failure}"))
         claims = self._find_claims()
@@ -83,11 +83,13 @@
             return Failure(_ledger_refusal(RunState.NOT_RUN, detail))
         window_s = pool.spec.claim_window_s
         holder = ClaimHolder(ledger_key_of(request), secrets.token_hex(16), claims)
-        asked_s = self._clock.monotonic_s()
+        requested_s = self._clock.monotonic_s()
         match self._claim(holder, fingerprint, window_s, deadline_s):
             case Success(claim) if claim.state is ClaimState.CLAIMED:
-                use_until_s = asked_s + min(CLAIM_USE_S, window_s * CLAIM_USE_WINDOW_SHARE)
-                return self._run(holder, lambda check: send(request, body, check), use_until_s)
+                usable_until_s = requested_s + min(
+                    MAX_CLAIM_AGE_S, window_s * MAX_CLAIM_AGE_WINDOW_FRACTION
+                )
+                return self._run(holder, lambda check: send(request, body, check), usable_until_s)
             case Success(claim):
                 return _answer_repeat(claim)
             case Failure(error):
@@ -145,16 +147,16 @@
         self,
         holder: ClaimHolder,
         send: Callable[[BeforeSend], Result[ApplicationAnswer, Refusal]],
-        use_until_s: float,
+        usable_until_s: float,
     ) -> Result[ApplicationAnswer, Refusal]:
-        def too_late() -> Refusal | None:
-            if self._clock.monotonic_s() < use_until_s:
+        def check_claim_age() -> Refusal | None:
+            if self._clock.monotonic_s() < usable_until_s:
                 return None
             detail = "the node was paused for too long after the claim"
             return Refusal(RefusalReason.DEADLINE, RunState.NOT_RUN, detail, RETRY_AFTER_S)
 
         try:
-            outcome = send(too_late)
+            outcome = send(check_claim_age)
         except BaseException:
             self._recorder.record_later(holder, ClaimState.UNKNOWN)
             raise
@@ -171,15 +173,15 @@
         self, holder: ClaimHolder, answer: ApplicationAnswer
     ) -> Result[ApplicationAnswer, Refusal]:
         """Record the answer before it is passed on, so that a repeat finds it."""
-        match read_whole(answer, RECORD_LIMIT_BYTES):
+        match read_whole(answer, MAX_RECORDED_ANSWER_BYTES):
             case Success(None):
                 self._recorder.record(holder, ClaimState.COMPLETED, None)
                 detail = "it ran, but its answer is too long to be kept"
                 return Failure(Refusal(RefusalReason.BACKEND_FAILED, RunState.RAN, detail))
             case Success(whole):
-                kept = RecordedAnswer(answer.status, answer.headers, whole or b"")
-                self._recorder.record(holder, ClaimState.COMPLETED, kept)
-                return Success(with_body(answer, iter((kept.body,) if kept.body else ())))
+                recorded = RecordedAnswer(answer.status, answer.headers, whole or b"")
+                self._recorder.record(holder, ClaimState.COMPLETED, recorded)
+                return Success(with_body(answer, iter((recorded.body,) if recorded.body else ())))
             case Failure(error):
                 self._recorder.record(holder, ClaimState.UNKNOWN, None)
                 refusal = Refusal(RefusalReason.BACKEND_FAILED, RunState.UNKNOWN, error.detail)
@@ -196,12 +198,12 @@
     return f"{request.pool}/{request.idempotency_key}"
 
 
-def is_usable_key(key: str) -> bool:
+def is_valid_key(key: str) -> bool:
     """Whether a caller's key is of a length and kind that is kept."""
-    return 0 < len(key) <= KEY_LIMIT_CHARACTERS and key.isprintable()
+    return 0 < len(key) <= MAX_KEY_CHARACTERS and key.isprintable()
 
 
-def fresh_key(now_s: float) -> str:
+def generate_key(now_s: float) -> str:
     """A key for a request without one: a UUID of version 7 (RFC 9562), which tells its age."""
     milliseconds = int(now_s * 1000) & ((1 << 48) - 1)
     high = (milliseconds << 16) | (7 << 12) | secrets.randbits(12)
@@ -220,9 +222,9 @@
 
 def _answer_repeat(claim: Claim) -> Result[ApplicationAnswer, Refusal]:
     if claim.state is ClaimState.COMPLETED and claim.answer is not None:
-        kept = claim.answer
-        headers = (*kept.headers, REPLAYED_HEADER)
-        return Success(ApplicationAnswer(kept.status, headers, iter((kept.body,))))
+        recorded = claim.answer
+        headers = (*recorded.headers, REPLAYED_HEADER)
+        return Success(ApplicationAnswer(recorded.status, headers, iter((recorded.body,))))
     return Failure(REPEAT_REFUSALS[claim.state])
 
 
--- a/src/bellweir/routing/outcome_recorder.py
+++ b/src/bellweir/routing/outcome_recorder.py
@@ -12,11 +12,11 @@
 from bellweir.routing.log_events import OUTCOME_NOT_RECORDED
 
 RECORD_TIMEOUT_S = 1.0
-PAUSE_S = 0.25
-DRAIN_POLL_S = 0.05
-GIVE_UP_S = 120.0
+RETRY_INTERVAL_S = 0.25
+DRAIN_POLL_INTERVAL_S = 0.05
+RECORD_RETRY_TIMEOUT_S = 120.0
 """After this time the ledger itself answers repeats of the key as unknown."""
-MAXIMUM_PENDING = 4096
+MAX_PENDING = 4096
 
 
 @dataclass(frozen=True)
@@ -64,7 +64,7 @@
                 self._add(pending)
             elif _record(pending):
                 continue
-            elif self._clock.monotonic_s() - pending.since_s > GIVE_UP_S:
+            elif self._clock.monotonic_s() - pending.since_s > RECORD_RETRY_TIMEOUT_S:
                 _report_lost(pending, "too late")
             else:
                 self._add(pending)
@@ -78,9 +78,9 @@
         while not stopping.is_set():
             if self._pending:
                 self.flush(stopping)
-                stopping.wait(PAUSE_S)
+                stopping.wait(RETRY_INTERVAL_S)
             else:
-                self._added.wait(PAUSE_S)
+                self._added.wait(RETRY_INTERVAL_S)
                 self._added.clear()
         for pending in self._pending:
             _report_lost(pending, "stopped")
@@ -89,11 +89,11 @@
         """Wait, at most `deadline_s` seconds, until the task has recorded what is pending."""
         until_s = self._clock.monotonic_s() + deadline_s
         while self._pending and self._clock.monotonic_s() < until_s:
-            self._clock.wait(threading.Event(), DRAIN_POLL_S)
+            self._clock.wait(threading.Event(), DRAIN_POLL_INTERVAL_S)
 
     def _add(self, pending: _Pending) -> None:
         with self._lock:
-            if len(self._pending) < MAXIMUM_PENDING:
+            if len(self._pending) < MAX_PENDING:
                 self._pending.append(pending)
                 self._added.set()
                 return
--- a/src/bellweir/routing/request_body.py
+++ b/src/bellweir/routing/request_body.py
@@ -14,18 +14,18 @@
     """The body ended before its declared length."""
 
 
-class _CountingReader(io.RawIOBase):
+class _ReadTrackingReader(io.RawIOBase):
     """Passes reads on and notes that there was one; it never closes its source."""
 
     def __init__(self, source: BinaryIO) -> None:
         self._source = source
-        self.touched = False
+        self.was_read = False
 
     def readable(self) -> bool:
         return True
 
     def readinto(self, buffer: "memoryview | bytearray") -> int:  # type: ignore[override]
-        self.touched = True
+        self.was_read = True
         data = self._source.read(len(buffer))
         buffer[: len(data)] = data
         return len(data)
@@ -40,7 +40,7 @@
     def __init__(self, source: BinaryIO | bytes, length: int | None) -> None:
         self._source = source
         self.length = length
-        self._reader: _CountingReader | None = None
+        self._reader: _ReadTrackingReader | None = None
         self._start: int | None = None
         if not isinstance(source, bytes) and source.seekable():
             self._start = source.tell()
@@ -50,7 +50,7 @@
         """Whether another attempt would send the same bytes."""
         if isinstance(self._source, bytes) or self._start is not None:
             return True
-        return self._reader is None or not self._reader.touched
+        return self._reader is None or not self._reader.was_read
 
     def open(self) -> BinaryIO | bytes:
         """The body for one attempt, from its first byte; only while `replayable`."""
@@ -59,7 +59,7 @@
             return source
         if self._start is not None:
             source.seek(self._start)
-        self._reader = _CountingReader(source)
+        self._reader = _ReadTrackingReader(source)
         return cast(BinaryIO, self._reader)
 
     def read_whole(self, limit_bytes: int) -> bytes:
--- a/src/bellweir/routing/service.py
+++ b/src/bellweir/routing/service.py
@@ -38,7 +38,7 @@
 from bellweir.routing.once import OnceRequests
 from bellweir.routing.outcome_recorder import OutcomeRecorder
 from bellweir.routing.pool_runtime import PoolRuntimes
-from bellweir.routing.stream_watch import StreamWatch
+from bellweir.routing.stream_watchdog import StreamWatchdog
 from bellweir.routing.views_service import BackendViewsService
 from bellweir.settings.models import Settings
 from bellweir.telemetry.interface import Telemetry
@@ -69,7 +69,7 @@
         self._fanout = settings.configuration.fanout
         self._counters = DispatchCounters()
         self._arms = ArmCounters()
-        self._watch = StreamWatch()
+        self._watch = StreamWatchdog()
         self._recorder = OutcomeRecorder(kernel.clock)
         self._admissions = Admissions(kernel.clock)
         self._runtimes: PoolRuntimes
--- a/src/bellweir/routing/stream_watch.py
+++ b/src/bellweir/routing/stream_watchdog.py
@@ -3,40 +3,40 @@
 import threading
 from typing import Protocol
 
-WATCH_PERIOD_S = 0.1
+CHECK_INTERVAL_S = 0.1
 
 
-class WatchedStream(Protocol):
+class IdleCheckedStream(Protocol):
     """A stream that can tell whether its engine has been silent for too long."""
 
-    def check_silence(self) -> None:
+    def check_idle_timeout(self) -> None:
         """Give the running attempt up when it has."""
 
     def cancel(self) -> None:
         """End the stream."""
 
 
-class StreamWatch:
+class StreamWatchdog:
     """All running streams of a node; one task looks at them all."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._streams: set[WatchedStream] = set()
+        self._streams: set[IdleCheckedStream] = set()
 
-    def add(self, stream: WatchedStream) -> None:
+    def add(self, stream: IdleCheckedStream) -> None:
         """Begin to watch."""
         with self._lock:
             self._streams.add(stream)
 
-    def remove(self, stream: WatchedStream) -> None:
+    def remove(self, stream: IdleCheckedStream) -> None:
         """End watching; removing twice is no error."""
         with self._lock:
             self._streams.discard(stream)
 
     def run(self, stopping: threading.Event) -> None:
         """Look at all streams until the node stops."""
-        while not stopping.wait(WATCH_PERIOD_S):
-            self.look()
+        while not stopping.wait(CHECK_INTERVAL_S):
+            self.check_streams()
 
     def cancel_all(self) -> None:
         """Cancel all streams, as at the end of a stop."""
@@ -45,9 +45,9 @@
         for stream in streams:
             stream.cancel()
 
-    def look(self) -> None:
+    def check_streams(self) -> None:
         """Look at all streams once."""
         with self._lock:
             streams = list(self._streams)
         for stream in streams:
-            stream.check_silence()
+            stream.check_idle_timeout()
