--- a/src/bellweir/routing/answers.py
+++ b/src/bellweir/routing/answers.py
@@ -1,4 +1,4 @@
-"""Answers of application workers on their way to the caller."""
+"""Helpers for the bodies of application answers."""
 
 from collections.abc import Callable, Iterator
 
@@ -12,12 +12,12 @@
 )
 
 MAX_BUFFERED_ANSWER_BYTES = 64 * 1024
-"""Answers up to this declared length are read whole before their status is passed on, so that
-one cut short can still be retried or refused."""
+"""Answers up to this declared length are read completely before they are returned, so that a
+truncated one can still be retried or refused."""
 
 
 class TrackedBody(Iterator[bytes]):
-    """A body that gives back what its request holds when it ends, fails or is closed."""
+    """Body that calls `on_end` once when it is exhausted, fails or is closed."""
 
     def __init__(self, body: Iterator[bytes], on_end: Callable[[BaseException | None], None]):
         self._body = body
@@ -35,7 +35,7 @@
             raise
 
     def close(self) -> None:
-        """End it early, as when the caller has gone away; closing twice is no error."""
+        """Close the body before its end, for example on a client disconnect. Idempotent."""
         if self._ended:
             return
         close_body(self._body)
@@ -52,14 +52,14 @@
 
 
 def close_body(body: Iterator[bytes]) -> None:
-    """Close a body that can be closed."""
+    """Close a body if it has a `close` method."""
     close = getattr(body, "close", None)
     if close is not None:
         close()
 
 
 def declared_length(answer: ApplicationAnswer) -> int | None:
-    """The answer's `Content-Length`; None when it has none."""
+    """Return the answer's `Content-Length`, or None."""
     for name, value in answer.headers:
         if name.lower() == "content-length" and value.isdigit():
             return int(value)
@@ -67,7 +67,7 @@
 
 
 def read_whole(answer: ApplicationAnswer, limit_bytes: int) -> Result[bytes | None, PlatformError]:
-    """Read the whole body; None when it is longer than the limit, which closes it."""
+    """Read the whole body; if it exceeds the limit, close it and return None."""
     parts: list[bytes] = []
     size = 0
     try:
@@ -83,5 +83,5 @@
 
 
 def with_body(answer: ApplicationAnswer, body: Iterator[bytes]) -> ApplicationAnswer:
-    """The same answer with another body."""
+    """Return a copy of the answer with another body."""
     return ApplicationAnswer(answer.status, answer.headers, body, answer.leaving)
--- a/src/bellweir/routing/application_requests.py
+++ b/src/bellweir/routing/application_requests.py
@@ -1,4 +1,4 @@
-"""Application requests from the caller to the answer, by their class."""
+"""Admits application requests and serves them according to their class."""
 
 from returns.result import Failure, Result, Success
 
@@ -17,13 +17,13 @@
 from bellweir.routing.request_body import BodyTruncatedError, RequestBody
 
 MAX_HEDGED_BODY_BYTES = 64 * 1024
-"""Longest body of a lookup that may be hedged: both attempts send it from memory."""
+"""Both attempts of a hedged lookup send the body from memory."""
 MAX_RUNNING_FOR_HEDGING = 16
-"""Lookups running above which none is hedged: more load does not make a busy pool faster."""
+"""Lookups are not hedged under high load, as duplicates would add to it."""
 
 
 class ApplicationRequests:
-    """Admits application requests and serves them as their class asks."""
+    """Admits and serves application requests."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         self._clock = clock
 
     def serve(self, request: ApplicationRequest) -> Result[ApplicationAnswer, Refusal]:
-        """Admit, send, and hold the request's place until the answer's body has ended."""
+        """Admit and send a request; its admission ends with the answer's body."""
         if not self._configuration.is_ready():
             return Failure(self._once.refuse(request, not_configured(), None))
         pool = self._configuration.current().pools.get(request.pool)
@@ -125,7 +125,7 @@
     def _send_lookup(
         self, request: ApplicationRequest, runtime: PoolRuntime, deadline_s: float
     ) -> Result[ApplicationAnswer, Refusal]:
-        """Forward a lookup, hedged when it is small and the node is not busy with others."""
+        """Forward a lookup, hedged if its body is small and few lookups are running."""
         body = RequestBody(request.body, request.body_length)
         gate = runtime.gates[RequestClass.LOOKUP]
         started_s = self._clock.monotonic_s()
--- a/src/bellweir/routing/attempts.py
+++ b/src/bellweir/routing/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of one request: bookkeeping on the back end, and the decision to try again."""
+"""Accounting and retry policy for the attempts of a request."""
 
 import secrets
 import threading
@@ -12,28 +12,30 @@
 
 MAX_ATTEMPTS = 3
 MAX_BACKEND_WAIT_S = 1.0
-"""Longest wait, in all, for a back end that answers but is not ready, as while weights are
-swapped; a refusal after it is final."""
+"""Total wait for a back end that is reachable but not ready, for example during a weight swap."""
 BACKEND_POLL_INTERVAL_S = 0.02
 RETRY_AFTER_S = 1.0
-"""When to come back after a refusal that a probe or a closed circuit may mend."""
+"""Default `Retry-After` of refusals."""
 
 SLOW_ATTEMPT_S = 5.0
-"""An attempt that had this long and got no answer by its deadline counts against the back end."""
+"""Attempts that time out sooner than this do not count as failures of the back end."""
 UNHEALTHY_KINDS = frozenset({ErrorKind.NOT_RUN, ErrorKind.UNKNOWN})
 UNAVAILABLE_KINDS = frozenset({ErrorKind.NOT_RUN, ErrorKind.LEAVING})
-"""Errors after which no back end is there for the request, rather than one that failed it."""
+"""Errors reported to the caller as an unavailable rather than a failed back end."""
 NON_RETRYABLE_KINDS = frozenset({ErrorKind.INVALID, ErrorKind.NOT_FOUND})
-"""Errors that another back end would answer with as well."""
+"""Errors that every back end would return for the request."""
 
 
 def new_attempt_id(request_id: str) -> str:
-    """A fresh id, unique for each attempt."""
+    """Return a unique attempt id that starts with the request id."""
     return f"{request_id}/{secrets.token_hex(6)}"
 
 
 class AttemptSlot:
-    """An attempt's place on its back end; ended once, from any thread."""
+    """Slot that an attempt occupies on its back end.
+
+    The first call that ends the slot releases it; later calls have no effect. Thread-safe.
+    """
 
     def __init__(
         self, backend: Backend, clock: Clock, deadline_s: float, *, interactive: bool
@@ -47,23 +49,23 @@
         backend.start_request(clock.monotonic_s(), interactive=interactive)
 
     def note_healthy(self) -> None:
-        """Note that the back end has begun to answer."""
+        """Record that the back end has started to answer."""
         self.backend.note_healthy()
 
     def succeed(self) -> None:
-        """End it; the back end has proved healthy."""
+        """Release the slot and record a success of the back end."""
         self._end(healthy=True)
 
     def abandon(self) -> None:
-        """End it without a word on the back end's health."""
+        """Release the slot without recording a success or failure."""
         self._end(healthy=None)
 
     def mark_leaving(self, source: str) -> None:
-        """Note that the back end has said that it leaves."""
+        """Mark the back end as leaving."""
         self.backend.mark_leaving(self._clock.monotonic_s(), source)
 
     def fail(self, error: PlatformError) -> None:
-        """End it after an error of the back end."""
+        """Release the slot and update the back end's state from an error."""
         if error.kind is ErrorKind.LEAVING:
             self.mark_leaving("refusal")
         if error.kind is ErrorKind.NOT_RUN:
@@ -73,9 +75,9 @@
         self._end(healthy=False if unhealthy else None, detail=error.detail)
 
     def _had_short_deadline(self) -> bool:
-        """Whether it was its own short deadline that ended the attempt.
+        """Whether the attempt ended at a deadline too short to show a failure of the back end.
 
-        A caller in a hurry proves nothing against a back end; one that hangs fails its probes.
+        A back end that hangs is detected by its health probes.
         """
         now_s = self._clock.monotonic_s()
         return now_s >= self._deadline_s and now_s - self._started_s < SLOW_ATTEMPT_S
@@ -96,7 +98,7 @@
 
 
 class RequestAttempts:
-    """What has been tried for one request, and whether it may be tried again."""
+    """Failed attempts of a request, and the decision whether to retry it."""
 
     def __init__(self, budget: RetryBudget, clock: Clock, deadline_s: float) -> None:
         self._budget = budget
@@ -112,15 +114,15 @@
 
     @property
     def lacks_draft_capacity(self) -> bool:
-        """Whether nothing was tried because drafts fill every engine as far as they may."""
+        """Whether nothing was tried because every engine is at its limit for drafts."""
         return self._no_draft_capacity and self._last_error is None
 
     def record_no_draft_capacity(self) -> None:
-        """Note that drafts fill every engine as far as they may."""
+        """Record that every engine is at its limit for drafts."""
         self._no_draft_capacity = True
 
     def record_failure(self, backend: Backend, error: PlatformError) -> None:
-        """Note a failed attempt."""
+        """Record a failed attempt."""
         self._failed += 1
         self._last_error = error
         if not _is_temporarily_unready(error):
@@ -128,18 +130,18 @@
         self.proved_not_run = self.proved_not_run and error.proves_not_run
 
     def record_progress(self, backend: Backend) -> None:
-        """Note that the failed attempt had brought the request forward: it counts no more."""
+        """Reset the count of failed attempts, as the last one generated tokens."""
         self._failed = 0
         self._made_progress = True
         self.tried = {backend.name}
 
     def may_retry(self, *, retry_safe: bool) -> bool:
-        """Whether another attempt is allowed; takes it from the budget and waits a little.
+        """Whether another attempt is allowed; withdraws it from the budget and backs off.
 
-        A refusal because the back end leaves costs no budget: each back end says it once.
-        An attempt that made progress costs none either: going on repeats no work. A back end
-        that says it serves nothing just now counts for the budget, not for the attempts: it is
-        not asked again before it is seen ready.
+        Refusals of a leaving back end are free, as each back end sends at most one. Attempts
+        that made progress are free too, as resuming repeats no work. A back end that is
+        temporarily unready costs budget but does not count towards `MAX_ATTEMPTS`: it is not
+        tried again until a probe finds it ready.
         """
         error = self._last_error
         if error is None or error.kind in NON_RETRYABLE_KINDS:
@@ -156,7 +158,7 @@
         return not self._past_deadline()
 
     def wait_for_backend(self, backends: Collection[Backend]) -> bool:
-        """Wait a moment when none is usable but one may soon be; False to give up now."""
+        """Wait one poll interval if a back end may become usable; return False otherwise."""
         now_s = self._now_s()
         if self._waiting_since_s is None:
             self._waiting_since_s = now_s
@@ -167,7 +169,7 @@
         return True
 
     def refusal(self) -> Refusal:
-        """The final answer after the last failed attempt, or when there was none to make."""
+        """Return the refusal for the last failed attempt, or for the lack of a back end."""
         state = self._run_state()
         error = self._last_error
         if self._past_deadline():
@@ -200,5 +202,5 @@
 
 
 def _is_temporarily_unready(error: PlatformError) -> bool:
-    """Whether the back end itself says that it serves nothing just now, but soon will."""
+    """Whether the back end answered that it will be ready again after a delay."""
     return error.kind is ErrorKind.NOT_RUN and error.answered and error.retry_after_s is not None
--- a/src/bellweir/routing/cancellations.py
+++ b/src/bellweir/routing/cancellations.py
@@ -1,4 +1,4 @@
-"""Tells engines of attempts that were given up, without holding threads for dead ones."""
+"""Cancels abandoned attempts on engines with at most one thread per engine."""
 
 import threading
 from collections import deque
@@ -9,14 +9,14 @@
 from bellweir.kernel.executors import Executors, ExecutorSaturatedError, WorkKind
 
 MAX_PENDING = 256
-"""Attempts of one engine that wait to be cancelled; the oldest are forgotten first."""
+"""Pending cancellations per engine; the oldest are dropped first."""
 
 
 class Cancellations:
-    """One background call at a time for each engine, however many attempts it concerns.
+    """Queues of cancellations, with one background call at a time for each engine.
 
-    The attempt's connection was closed before, which tells the engine as well; a call only
-    makes it sooner. So an engine that cannot be reached is not tried again.
+    Cancelling is best effort: the engine also detects the closed connection of the attempt.
+    The queue of an unreachable engine is therefore dropped.
     """
 
     def __init__(self, executors: Executors) -> None:
@@ -25,7 +25,7 @@
         self._pending: dict[str, deque[str]] = {}
 
     def cancel(self, worker: str, engine: Engine, attempt_id: str) -> None:
-        """Cancel an attempt on an engine (`pool/worker`) soon."""
+        """Schedule the cancellation of an attempt on an engine (`pool/worker`)."""
         with self._lock:
             running = self._pending.get(worker)
             if running is not None:
@@ -38,7 +38,7 @@
             self._forget(worker)
 
     def _cancel_all(self, worker: str, engine: Engine) -> None:
-        # `_next` ends the engine's entry itself; only then may another call have begun one anew.
+        # `_next` removes the entry itself: afterwards, `cancel` may have created a new one.
         while (attempt_id := self._next(worker)) is not None:
             try:
                 cancelled = engine.cancel(attempt_id)
@@ -50,7 +50,7 @@
                 return
 
     def _next(self, worker: str) -> str | None:
-        """The next attempt; None ends the call, and a later cancellation begins another one."""
+        """Return the next attempt id, or remove the empty queue and return None."""
         with self._lock:
             pending = self._pending[worker]
             if pending:
--- a/src/bellweir/routing/forwarding.py
+++ b/src/bellweir/routing/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwards application requests: choice of worker, attempts, and the body of the answer."""
+"""Forwards application requests to workers, with retries."""
 
 from collections.abc import Callable
 from posixpath import normpath
@@ -33,22 +33,25 @@
 from bellweir.routing.views_service import BackendViewsService
 
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "TRACE", "PUT", "DELETE"})
-"""RFC 9110, section 9.2.2."""
+"""As defined in RFC 9110, section 9.2.2."""
 UNSAFE_METHODS = frozenset({"POST", "PUT", "PATCH", "DELETE"})
 
 
 def effective_class(request: ApplicationRequest, pool: Pool) -> RequestClass:
-    """The class a request is served in: the pool's `oncePaths` go before the caller's word."""
+    """Return the class to serve a request with.
+
+    The pool's `oncePaths` take precedence over the class that the caller asks for.
+    """
     if request.method.upper() in UNSAFE_METHODS and _under(request.path, pool.spec.once_paths):
         return RequestClass.ONCE
     return request.request_class
 
 
 def is_retry_safe(request: ApplicationRequest, kind: RequestClass, pool: Pool) -> bool:
-    """Whether running it twice does no harm.
+    """Whether a request may be retried even if an earlier attempt has run.
 
-    An interactive POST is repeated only when the operator has said by `oncePaths` which paths
-    of this pool must not be.
+    Interactive requests with a non-idempotent method are safe to retry only in pools with
+    `oncePaths`, which list the paths that are not.
     """
     if kind is RequestClass.ONCE:
         return False
@@ -58,9 +61,10 @@
 
 
 def _under(path: str, prefixes: tuple[str, ...]) -> bool:
-    """Whether a path lies under one of the prefixes, by whole segments.
+    """Whether a path equals a prefix or lies below it, compared by whole segments.
 
-    Compared in decoded and normalized form, so that no spelling of a path escapes the rule.
+    The path is percent-decoded and normalized first, so that an alternative spelling cannot
+    bypass the rule.
     """
     normalized = normpath("/" + unquote(path.partition("?")[0]).lstrip("/"))
     for prefix in prefixes:
@@ -75,7 +79,7 @@
 
 
 class Forwarder:
-    """Makes the attempts of application requests."""
+    """Sends application requests to the workers of a pool."""
 
     def __init__(
         self,
@@ -103,10 +107,10 @@
         before_send: Callable[[], Refusal | None] = lambda: None,
         used: set[str] | None = None,
     ) -> Result[ApplicationAnswer, Refusal]:
-        """Try until an answer comes or no further attempt is allowed.
+        """Send a request, with retries, until an answer arrives or no retry is allowed.
 
-        `before_send` is asked before each attempt and may refuse it. What it says of the run
-        must hold for attempts that were proved not run, as those before it were. Back ends in
+        `before_send` is called before each attempt and may refuse it; the run state of its
+        refusal must also hold for the earlier attempts, which are proved not run. Back ends in
         `used` are avoided, and those tried are added to it.
         """
         attempts = RequestAttempts(runtime.budget, self._clock, deadline_s)
--- a/src/bellweir/routing/generation.py
+++ b/src/bellweir/routing/generation.py
@@ -1,4 +1,4 @@
-"""A running generation: one gapless stream over as many engine attempts as it takes."""
+"""A running generation: one continuous token stream over one or more engine attempts."""
 
 import threading
 from collections.abc import Callable, Generator, Iterator
@@ -35,31 +35,31 @@
 
 @dataclass(frozen=True)
 class IdleTimeouts:
-    """Longest silence of an engine before another one goes on."""
+    """Time without a token after which a generation is resumed on another engine."""
 
     first_token_s: float
-    """Before the first token: the engine may have a queue."""
+    """Includes time in the engine's queue."""
     next_token_s: float
 
 
 INTERACTIVE_IDLE_TIMEOUTS = IdleTimeouts(first_token_s=2.0, next_token_s=1.0)
 DRAFT_IDLE_TIMEOUTS = IdleTimeouts(first_token_s=30.0, next_token_s=10.0)
 UNREACHABLE_IDLE_TIMEOUT_S = 0.3
-"""Silence after which an engine that can't be probed any more is given up, for all classes."""
+"""Applies to all request classes once the engine's health probes fail."""
 
 
 @dataclass(frozen=True)
 class GenerationListener:
-    """What the dispatcher wants to know of a running generation."""
+    """Callbacks for events of a running generation."""
 
     on_first_token: Callable[[float], None]
-    """Seconds from the start of the first attempt."""
+    """Called with the time to the first token in seconds."""
     on_end: Callable[[str], None]
-    """Outcome; called once."""
+    """Called once with the outcome."""
 
 
 class RoutedGeneration(Generation):
-    """Chunks of one request; a cut stream goes on elsewhere from the tokens had.
+    """Token stream of one request, resumed on another engine when an attempt fails.
 
     Each attempt has its own stream and only the current attempt's stream is read, so late
     frames of an abandoned attempt never reach the caller.
@@ -93,15 +93,15 @@
         self._attempt_tokens = 0
         self._reading_since_s: float | None = None
         self._timed_out_attempt_id: str | None = None
-        """Id of the last attempt that was given up for silence."""
+        """Id of the last attempt that was aborted by the idle timeout."""
 
     @property
     def token_count(self) -> int:
-        """Tokens had so far, without those the request came with."""
+        """Number of generated tokens, without the request's prefix tokens."""
         return len(self._generated)
 
     def __iter__(self) -> Iterator[Result[GenerationChunk, Refusal]]:
-        """Yield chunks to the finish reason, or end with one refusal."""
+        """Yield chunks up to the finish reason, or a refusal as the last item."""
         outcome = CANCELLED
         try:
             for item in self._items():
@@ -115,7 +115,7 @@
             self._end(outcome)
 
     def cancel(self) -> None:
-        """Drop the running attempt and give back what the request holds."""
+        """Cancel the running attempt and release the request's resources."""
         with self._lock:
             self._cancelled = True
             attempt = self._attempt
@@ -151,7 +151,7 @@
                 return failed
             chunk = item.unwrap()
             if chunk.finish_reason is FinishReason.CANCELLED:
-                return CANCELLED_BY_ENGINE  # not asked for here
+                return CANCELLED_BY_ENGINE  # this stream did not request the cancellation
             if chunk.finish_reason is not None:
                 yield from self._finish_attempt(chunk, attempt, chunks)
                 return None
@@ -176,7 +176,7 @@
         attempt: RunningAttempt,
         chunks: Iterator[Result[TokenChunk, PlatformError]],
     ) -> Iterator[Result[GenerationChunk, Refusal]]:
-        """End the attempt, then pass its last chunk on: nobody has to ask for more after it."""
+        """End the attempt before yielding its last chunk, as callers may stop reading there."""
         attempt.slot.succeed()
         try:
             yield Success(self._accept(chunk, attempt))
@@ -184,7 +184,7 @@
             next(chunks, None)  # the end marker, so that the connection can be kept
 
     def _read(self, attempt: RunningAttempt) -> Iterator[Result[TokenChunk, PlatformError]]:
-        """The attempt's stream, noting when it is the engine that is waited for."""
+        """Yield the items of an attempt's stream and track the start of each pending read."""
         self._attempt_tokens = 0
         chunks = iter(attempt.stream)
         while True:
@@ -196,10 +196,10 @@
             yield item
 
     def check_idle_timeout(self) -> None:
-        """Give up the running attempt when its engine is silent and another one could go on.
+        """Abort an idle attempt if another engine is available, or any attempt at the deadline.
 
-        Called by the watch, from its own thread. The reading thread sees the closed stream as
-        an error and resumes elsewhere; at the deadline it ends.
+        Called from the watchdog's thread. The reading thread sees the closed stream as an
+        error and resumes on another engine, or ends if the deadline has passed.
         """
         since_s = self._reading_since_s
         with self._lock:
@@ -223,7 +223,7 @@
         if self._attempt_tokens:
             return idle_s >= limits.next_token_s
         if attempt.slot.backend.queues:
-            limits = DRAFT_IDLE_TIMEOUTS  # waiting for a place is no silence
+            limits = DRAFT_IDLE_TIMEOUTS  # the request may be queued on the engine
         return idle_s >= limits.first_token_s
 
     def _accept(self, chunk: TokenChunk, attempt: RunningAttempt) -> GenerationChunk:
@@ -243,13 +243,13 @@
         )
 
     def _final_chunk(self, attempt: RunningAttempt) -> GenerationChunk:
-        """End an answer that had all its tokens when only the end marker was lost."""
+        """Return the final chunk of an answer that is complete except for its end marker."""
         return GenerationChunk(
             (), "", self._last_version, attempt.slot.backend.name, FinishReason.LENGTH
         )
 
     def _resume(self) -> Refusal | None:
-        """Start the next attempt; a refusal when there is none to make."""
+        """Start the next attempt; return a refusal if none is possible."""
         if not self._attempts.may_retry(retry_safe=True):
             return self._attempts.refusal()
         started = self._starter.start(
@@ -267,7 +267,7 @@
             self._attempt = attempt
             cancelled = self._cancelled
         if cancelled:
-            # `cancel` ran between the old attempt's end and here and saw the old one only.
+            # `cancel` ran before the switch and cancelled only the previous attempt.
             self._starter.cancel(attempt)
             return
         emit(
@@ -293,5 +293,5 @@
             attempt = self._attempt
         if outcome == CANCELLED:
             self._starter.cancel(attempt)
-        attempt.slot.abandon()  # nothing to do when it has ended, as it should have
+        attempt.slot.abandon()  # no effect if the slot was released before
         self._listener.on_end(outcome)
--- a/src/bellweir/routing/generation_attempt.py
+++ b/src/bellweir/routing/generation_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a generation: which engine, the call, and its stream."""
+"""Starts and cancels generation attempts on engines."""
 
 from dataclasses import dataclass
 
@@ -34,14 +34,14 @@
 
 @dataclass(frozen=True)
 class GenerationRoute:
-    """What a request's policy, after its comparison, asks of an engine."""
+    """Engine requirements of a request, resolved from its policy and comparison."""
 
     policy: str
     model: str
     minimum_version: int | None
     exact_version: int | None
     arm: ArmName | None = None
-    """The comparison's arm that was chosen."""
+    """Arm of the comparison that the request was assigned to."""
 
 
 @dataclass(frozen=True)
@@ -55,7 +55,7 @@
 
 
 class GenerationStarter:
-    """Chooses engines and starts attempts on them."""
+    """Selects engines and starts attempts on them."""
 
     def __init__(
         self,
@@ -76,14 +76,14 @@
         self._draft_share = draft_share
 
     def pools_of(self, policy: str) -> list[Pool]:
-        """The pools whose engines serve a policy, by name."""
+        """Return the pools that serve a policy, sorted by name."""
         found = self._views.pools()
         return [
             found[name].pool for name in sorted(found) if policy in found[name].pool.spec.policies
         ]
 
     def _backends_of(self, policy: str) -> list[Backend]:
-        """The back ends of all pools that serve a policy."""
+        """Return the back ends of all pools that serve a policy."""
         found = self._views.pools()
         return [
             backend
@@ -99,7 +99,7 @@
         deadline_s: float,
         attempts: RequestAttempts,
     ) -> Result[RunningAttempt, Refusal]:
-        """Start an attempt after the tokens had, trying again as far as that is allowed."""
+        """Start an attempt that continues after the generated tokens, with retries."""
         started_s = self._clock.monotonic_s()
         while True:
             started = self._start_attempt(request, route, generated_tokens, deadline_s, attempts)
@@ -116,7 +116,7 @@
     def _wait(
         self, route: GenerationRoute, attempts: RequestAttempts, started_s: float, deadline_s: float
     ) -> bool:
-        """Wait a little for room or for a back end; False when this request has to be refused."""
+        """Wait for draft capacity or a back end; return False if the request must be refused."""
         if attempts.lacks_draft_capacity:
             room = self._runtimes.of(self.pools_of(route.policy)[0]).draft_room
             return room.wait_a_little(started_s, deadline_s)
@@ -130,7 +130,7 @@
         deadline_s: float,
         attempts: RequestAttempts,
     ) -> Result[RunningAttempt, PlatformError | None]:
-        """Start one attempt; the failure is None when no engine fits."""
+        """Start one attempt; the failure is None if no engine is usable."""
         backend = self._choose(request, route, attempts)
         if backend is None:
             return Failure(None)
@@ -154,18 +154,18 @@
         raise AssertionError("a result is a success or a failure")
 
     def cancel(self, attempt: RunningAttempt) -> None:
-        """Drop an attempt: its connection at once, its work on the engine by a call aside."""
+        """Release an attempt's slot, close its connection and cancel it on the engine."""
         attempt.slot.abandon()
         self.abort(attempt)
 
     def abort(self, attempt: RunningAttempt) -> None:
-        """Close an attempt's connection and tell its engine, without a word on its health."""
+        """Close an attempt's connection and cancel it on the engine; its slot stays occupied."""
         attempt.stream.close()
         worker = attempt.slot.backend.key
         self._cancellations.cancel(worker, attempt.engine, attempt.attempt_id)
 
     def has_alternative(self, attempt: RunningAttempt, route: GenerationRoute) -> bool:
-        """Whether another engine could go on with an attempt now."""
+        """Whether another engine could resume an attempt now."""
         current = {attempt.slot.backend.name}
         return bool(
             candidates(
@@ -229,7 +229,7 @@
 
 
 def serves(backend: Backend, route: GenerationRoute) -> bool:
-    """Whether an engine holds the model in an admissible version."""
+    """Whether an engine has loaded the model in an acceptable version."""
     report = backend.report
     if report is None or report.weight_version is None:
         return False
--- a/src/bellweir/routing/generation_requests.py
+++ b/src/bellweir/routing/generation_requests.py
@@ -1,4 +1,4 @@
-"""Generations from the caller's request to a running stream."""
+"""Admission and start of generation requests."""
 
 from returns.result import Failure, Result, Success
 
@@ -21,7 +21,7 @@
 
 
 class GenerationRequests:
-    """Routes, admits and starts generations."""
+    """Resolves the route of generation requests, admits and starts them."""
 
     def __init__(
         self,
@@ -107,7 +107,7 @@
         def on_first_token(latency_s: float) -> None:
             note_latency(latency_s)
             if route.arm is not None:
-                # From before the first attempt: an engine may answer with its first token only.
+                # Measured from the request, as an engine may respond only with its first token.
                 self._arms.count_first_token(route.arm, self._clock.monotonic_s() - started_s)
 
         def on_end(outcome: str) -> None:
@@ -137,7 +137,7 @@
 def resolve_route(
     request: GenerationRequest, snapshot: ConfigurationSnapshot
 ) -> Result[GenerationRoute, Refusal]:
-    """What the request's policy asks of an engine, after the policy's comparison."""
+    """Resolve a request's policy, or the arm of its comparison, to engine requirements."""
     policy_name, exact_version, chosen = request.policy, None, None
     comparison = comparison_of(request.policy, snapshot.comparisons.values())
     if comparison is not None:
--- a/src/bellweir/routing/once.py
+++ b/src/bellweir/routing/once.py
@@ -1,4 +1,4 @@
-"""Requests that must not be repeated: claimed by their key before the single attempt."""
+"""At-most-once requests: the idempotency key is claimed in the ledger before the attempt."""
 
 import hashlib
 import secrets
@@ -26,14 +26,14 @@
 from bellweir.routing.request_body import BodyTooLongError, BodyTruncatedError, RequestBody
 
 MAX_BODY_BYTES = 1024 * 1024
-"""Longest body of a request that must not be repeated: it is fingerprinted before it is sent."""
+"""Bodies are read into memory, as their fingerprint is needed before they are sent."""
 MAX_RECORDED_ANSWER_BYTES = 256 * 1024
-"""Longest answer kept for repeats; a longer one is passed on, but repeats get no copy."""
+"""Longest answer that is recorded for repeated requests."""
 CLAIM_TIMEOUT_S = 3.0
 MAX_CLAIM_AGE_S = 60.0
 MAX_CLAIM_AGE_WINDOW_FRACTION = 0.5
-"""A claim older than `MAX_CLAIM_AGE_S` or than this share of its window is not used any more: a
-holder that was paused for so long may wake up when the key has been given to somebody else."""
+"""A claim older than `MAX_CLAIM_AGE_S` or than this fraction of its window is not used: if the
+holder was paused for longer, the key may have expired and been claimed by another request."""
 KEY_HEADER = "Idempotency-Key"
 MAX_KEY_CHARACTERS = 255
 LOOK_UP_TIMEOUT_S = 0.5
@@ -43,11 +43,11 @@
 SendOnce = Callable[
     [ApplicationRequest, RequestBody, BeforeSend], Result[ApplicationAnswer, Refusal]
 ]
-"""Makes the attempt; asks the given check right before each send."""
+"""Sends the request; calls the given check immediately before each attempt."""
 
 
 class OnceRequests:
-    """Serves requests of class once."""
+    """Serves at-most-once requests (`RequestClass.ONCE`)."""
 
     def __init__(
         self, find_claims: Callable[[], Claims | None], recorder: OutcomeRecorder, clock: Clock
@@ -59,7 +59,7 @@
     def serve(
         self, request: ApplicationRequest, pool: Pool, deadline_s: float, send: SendOnce
     ) -> Result[ApplicationAnswer, Refusal]:
-        """Claim, attempt once, record; a repeat gets what is recorded."""
+        """Claim the key, send the request and record its outcome; replay it for a repeated key."""
         key = request.idempotency_key
         generated = key is None
         if key is None:
@@ -93,8 +93,8 @@
             case Success(claim):
                 return _answer_repeat(claim)
             case Failure(error):
-                # An earlier request with a key of the caller's may have run, which only the
-                # ledger could tell; with a fresh key there is none.
+                # An earlier request with the caller's key may have run, which only the ledger
+                # knows; a generated key has no earlier request.
                 state = RunState.NOT_RUN if generated else RunState.UNKNOWN
                 return Failure(_ledger_refusal(state, error.detail))
         raise AssertionError("a result is a success or a failure")
@@ -102,10 +102,10 @@
     def refuse(
         self, request: ApplicationRequest, refusal: Refusal, kind: RequestClass | None
     ) -> Refusal:
-        """What to say of a request that is refused before it is claimed.
+        """Adjust the run state of a refusal that was made before the key was claimed.
 
-        This request has not run, but an earlier one with its key may have: "not run" is said
-        only when the ledger knows of none.
+        The request itself has not run, but an earlier one with the same key may have, so
+        `NOT_RUN` is kept only if the ledger has no record of one.
         """
         if request.idempotency_key is None or refusal.run_state is not RunState.NOT_RUN:
             return refusal
@@ -115,7 +115,7 @@
         return replace(refusal, run_state=RunState.UNKNOWN, detail=detail)
 
     def _is_unknown_key(self, request: ApplicationRequest) -> bool:
-        """Whether the ledger says that no request with this key may have run."""
+        """Whether the ledger rules out that a request with this key has run."""
         claims = self._find_claims()
         if claims is None:
             return True
@@ -127,11 +127,11 @@
     def _claim(
         self, holder: ClaimHolder, fingerprint: str, window_s: float, deadline_s: float
     ) -> Result[Claim, LedgerError]:
-        """Claim; an unknown outcome permits no attempt, now or later.
+        """Claim the key; if the outcome is unknown, no attempt may be made.
 
-        `Claims` sends a claim again by itself while its time lasts and gives it back when it
-        gets no answer. Asking once more with the same attempt id could get `CLAIMED` before
-        that release takes effect, and the key would be free while the attempt runs.
+        `Claims` retries until its timeout and then releases the claim. Claiming again with the
+        same attempt id could return `CLAIMED` before that release takes effect, which would
+        free the key while the attempt runs.
         """
         left_s = deadline_s - self._clock.monotonic_s()
         timeout_s = max(0.001, min(CLAIM_TIMEOUT_S, left_s))
@@ -172,7 +172,7 @@
     def _complete(
         self, holder: ClaimHolder, answer: ApplicationAnswer
     ) -> Result[ApplicationAnswer, Refusal]:
-        """Record the answer before it is passed on, so that a repeat finds it."""
+        """Record the answer before returning it, so that a repeated request finds it."""
         match read_whole(answer, MAX_RECORDED_ANSWER_BYTES):
             case Success(None):
                 self._recorder.record(holder, ClaimState.COMPLETED, None)
@@ -190,21 +190,21 @@
 
 
 def ledger_key_of(request: ApplicationRequest) -> str:
-    """Key of a request's claim: keys of different pools do not meet, those of callers do.
+    """Return the key of a request's claim, which is scoped to the pool but not to the caller.
 
-    A caller may come back through another node, address or token; the fingerprint tells two
-    callers with one key apart.
+    A caller may retry from another address or with another token; two callers that use the
+    same key are told apart by the fingerprint.
     """
     return f"{request.pool}/{request.idempotency_key}"
 
 
 def is_valid_key(key: str) -> bool:
-    """Whether a caller's key is of a length and kind that is kept."""
+    """Whether a key is printable and of an allowed length."""
     return 0 < len(key) <= MAX_KEY_CHARACTERS and key.isprintable()
 
 
 def generate_key(now_s: float) -> str:
-    """A key for a request without one: a UUID of version 7 (RFC 9562), which tells its age."""
+    """Return a new UUID of version 7 (RFC 9562), which contains its creation time."""
     milliseconds = int(now_s * 1000) & ((1 << 48) - 1)
     high = (milliseconds << 16) | (7 << 12) | secrets.randbits(12)
     low = (0b10 << 62) | secrets.randbits(62)
@@ -212,7 +212,7 @@
 
 
 def fingerprint_of(request: ApplicationRequest, body: bytes) -> str:
-    """Digest of what makes a request the same: method, path with query, and body."""
+    """Return the SHA-256 digest of a request's method, path with query, and body."""
     digest = hashlib.sha256()
     for part in (request.method.upper().encode(), request.path.encode(), body):
         digest.update(len(part).to_bytes(8, "big"))
--- a/src/bellweir/routing/outcome_recorder.py
+++ b/src/bellweir/routing/outcome_recorder.py
@@ -1,4 +1,4 @@
-"""Records outcomes of claims that the ledger did not take at once, until it does."""
+"""Records the outcomes of claims in the ledger, with retries."""
 
 import threading
 from collections import deque
@@ -15,13 +15,13 @@
 RETRY_INTERVAL_S = 0.25
 DRAIN_POLL_INTERVAL_S = 0.05
 RECORD_RETRY_TIMEOUT_S = 120.0
-"""After this time the ledger itself answers repeats of the key as unknown."""
+"""After this time the ledger itself reports the outcome as unknown."""
 MAX_PENDING = 4096
 
 
 @dataclass(frozen=True)
 class ClaimHolder:
-    """A claim asked for, or held, by one request on this node."""
+    """A claim that a request of this node has requested or holds."""
 
     ledger_key: str
     attempt_id: str
@@ -37,7 +37,7 @@
 
 
 class OutcomeRecorder:
-    """Keeps what is to be recorded; one task tries all of it again and again."""
+    """Queue of outcomes to record, retried by one task."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -46,17 +46,17 @@
         self._added = threading.Event()
 
     def record(self, holder: ClaimHolder, state: ClaimState, answer: RecordedAnswer | None) -> None:
-        """Record now, or later when the ledger does not take it."""
+        """Record an outcome; queue it for a retry if that fails."""
         pending = _Pending(holder, state, answer, self._clock.monotonic_s())
         if not _record(pending):
             self._add(pending)
 
     def record_later(self, holder: ClaimHolder, state: ClaimState) -> None:
-        """Record an outcome without an answer from the task, not from the caller's thread."""
+        """Queue an outcome without an answer for the recording task."""
         self._add(_Pending(holder, state, None, self._clock.monotonic_s()))
 
     def flush(self, stopping: threading.Event | None = None) -> None:
-        """Try each pending record once; none any more once `stopping` is set."""
+        """Try each pending record once, until `stopping` is set."""
         with self._lock:
             batch, self._pending = self._pending, deque()
         for pending in batch:
@@ -65,15 +65,15 @@
             elif _record(pending):
                 continue
             elif self._clock.monotonic_s() - pending.since_s > RECORD_RETRY_TIMEOUT_S:
-                _report_lost(pending, "too late")
+                _report_lost(pending, "retry timeout exceeded")
             else:
                 self._add(pending)
 
     def run(self, stopping: threading.Event) -> None:
-        """Flush while there is something to flush, until the node stops.
+        """Flush pending outcomes until `stopping` is set.
 
-        What is pending then stays unrecorded: the ledger answers repeats of those keys as
-        unknown. Without a majority another try would only hold the stop up.
+        Outcomes still pending are then dropped, and the ledger reports them as unknown: without
+        a majority, further attempts would only delay the shutdown.
         """
         while not stopping.is_set():
             if self._pending:
@@ -83,10 +83,10 @@
                 self._added.wait(RETRY_INTERVAL_S)
                 self._added.clear()
         for pending in self._pending:
-            _report_lost(pending, "stopped")
+            _report_lost(pending, "node stopped")
 
     def drain(self, deadline_s: float) -> None:
-        """Wait, at most `deadline_s` seconds, until the task has recorded what is pending."""
+        """Wait up to `deadline_s` seconds until no outcome is pending."""
         until_s = self._clock.monotonic_s() + deadline_s
         while self._pending and self._clock.monotonic_s() < until_s:
             self._clock.wait(threading.Event(), DRAIN_POLL_INTERVAL_S)
@@ -97,11 +97,11 @@
                 self._pending.append(pending)
                 self._added.set()
                 return
-        _report_lost(pending, "too many pending")
+        _report_lost(pending, "queue of pending outcomes is full")
 
 
 def _report_lost(pending: _Pending, detail: str) -> None:
-    """Log that an outcome will not be recorded any more."""
+    """Log that an outcome was dropped."""
     holder = pending.holder
     emit(OUTCOME_NOT_RECORDED, key=holder.ledger_key, attempt_id=holder.attempt_id, detail=detail)
 
--- a/src/bellweir/routing/request_body.py
+++ b/src/bellweir/routing/request_body.py
@@ -1,4 +1,4 @@
-"""A request body that knows whether it can be sent again."""
+"""Request bodies that may be sent in several attempts."""
 
 import io
 from typing import BinaryIO, cast
@@ -7,7 +7,7 @@
 
 
 class BodyTooLongError(ValueError):
-    """The body is longer than the bound it was read with."""
+    """The body exceeds the limit."""
 
 
 class BodyTruncatedError(ValueError):
@@ -15,7 +15,7 @@
 
 
 class _ReadTrackingReader(io.RawIOBase):
-    """Passes reads on and notes that there was one; it never closes its source."""
+    """Tracks whether a source was read; does not close it."""
 
     def __init__(self, source: BinaryIO) -> None:
         self._source = source
@@ -32,9 +32,9 @@
 
 
 class RequestBody:
-    """The body of one request over all its attempts.
+    """Body of a request, shared by its attempts.
 
-    Bytes and seekable files can be sent again, anything else only while nothing was read.
+    Bytes and seekable files can be replayed; other sources only until their first read.
     """
 
     def __init__(self, source: BinaryIO | bytes, length: int | None) -> None:
@@ -47,13 +47,13 @@
 
     @property
     def replayable(self) -> bool:
-        """Whether another attempt would send the same bytes."""
+        """Whether the body can be sent again from its start."""
         if isinstance(self._source, bytes) or self._start is not None:
             return True
         return self._reader is None or not self._reader.was_read
 
     def open(self) -> BinaryIO | bytes:
-        """The body for one attempt, from its first byte; only while `replayable`."""
+        """Return the body from its first byte; requires `replayable`."""
         source = self._source
         if isinstance(source, bytes):
             return source
@@ -63,9 +63,10 @@
         return cast(BinaryIO, self._reader)
 
     def read_whole(self, limit_bytes: int) -> bytes:
-        """Read the whole body; from then on it is held as bytes.
+        """Read the whole body and keep it in memory.
 
-        Raises `BodyTooLongError` above the limit and `BodyTruncatedError` when it is short.
+        Raises `BodyTooLongError` above the limit and `BodyTruncatedError` if the body ends
+        before its declared length.
         """
         if isinstance(self._source, bytes):
             whole = self._source
