--- a/features/steps/routing_once_steps.py
+++ b/features/steps/routing_once_steps.py
@@ -9,45 +9,45 @@
 from bellweir.kernel.clock import SystemClock
 from bellweir.ledger.interface import ClaimState, LedgerError, LedgerErrorKind
 from bellweir.routing.outcome_recorder import ClaimHolder, OutcomeRecorder
-from support.routing_claims import LedgerFault, NodeKilledError, Point
+from support.routing_claims import LedgerFault, NodeKilledError, RequestPoint
 from support.routing_cluster import (
     body_of,
 )
 from support.routing_fakes import Fault
-from support.routing_once_machine import use
-from support.routing_once_setting import CLAIM_WINDOW_S, OnceSetting, recover
+from support.routing_once_machine import bind_machine
+from support.routing_once_fixture import CLAIM_WINDOW_S, OnceFixture, recover
 
 
 @given("routing of once requests over 3 nodes and 3 application workers")
 def step_once(context):
-    context.once = OnceSetting(context.cleanup)
+    context.once = OnceFixture(context.cleanup)
     context.cluster = context.once.cluster
 
 
 @then("routing runs each key at most once and tells the truth, whatever is lost, killed or paused")
 def step_at_most_once(context):
     run_state_machine_as_test(
-        use(context.once), settings=settings(max_examples=200, stateful_step_count=20)
+        bind_machine(context.once), settings=settings(max_examples=200, stateful_step_count=20)
     )
 
 
-def _order(context, node, words):
+def _order(context, node, description):
     """Send an order in the manner that the words say."""
     once = context.once
-    if "a window later" in words:
+    if "a window later" in description:
         once.clock.offset_s += CLAIM_WINDOW_S * 1.5
-    if "answer lost" in words:
+    if "answer lost" in description:
         once.faults.append(Fault.LOST_ANSWER)
-    if "ledger down" in words:
+    if "ledger down" in description:
         once.ledger.faults[:] = [LedgerFault.UNAVAILABLE] * 8
-    if "claim answers lost" in words:
+    if "claim answers lost" in description:
         once.ledger.faults[:] = [LedgerFault.LOST_AFTER] * 6
     for application in once.cluster.applications:
-        application.dead = "workers dead" in words
-    context.cluster.configurations[node].ready = "not configured" not in words
-    context.cluster.nodes[node]._admissions.draining = "draining" in words
-    key = None if "without a key" in words else words.partition("key ")[2][:1]
-    body = b"order 200" if "for another item" in words else b"order 100"
+        application.dead = "workers dead" in description
+    context.cluster.configurations[node].ready = "not configured" not in description
+    context.cluster.nodes[node]._admissions.draining = "draining" in description
+    key = None if "without a key" in description else description.partition("key ")[2][:1]
+    body = b"order 200" if "for another item" in description else b"order 100"
     request = once.cluster.application_request(
         body, path="/orders", idempotency_key=key, deadline_monotonic_s=once.deadline_s(),
         headers=(("Idempotency-Key", key),) if key else (),
@@ -58,7 +58,7 @@
         application.dead = False
     for other in once.cluster.nodes:
         recover(other.backend_views)
-        other._kernel.executors.run_later()
+        other._kernel.executors.run_deferred()
         other._recorder.flush()
     return outcome
 
@@ -89,9 +89,9 @@
 
 
 POINTS = {
-    "after the claim": Point.CLAIMED,
-    "after the run": Point.AFTER_RUN,
-    "after the record": Point.RECORDED,
+    "after the claim": RequestPoint.CLAIMED,
+    "after the run": RequestPoint.AFTER_RUN,
+    "after the record": RequestPoint.RECORDED,
 }
 
 
@@ -108,29 +108,29 @@
 
 @when("routing's node 0 {what} {point}, and node 1 gets the same key {when}")
 def step_on_the_way(context, what, point, when):
-    words, _, place = f"{what} {point}".partition(" after ")
+    description, _, place = f"{what} {point}".partition(" after ")
     once, second = context.once, []
 
-    def happen():
-        if words == "is killed":
+    def run_fault():
+        if description == "is killed":
             once.kill(0)
-        once.clock.offset_s += float(words.split()[3]) * CLAIM_WINDOW_S
+        once.clock.offset_s += float(description.split()[3]) * CLAIM_WINDOW_S
         second.append(_same_order(context, 1))
 
-    once.happenings.at = {POINTS[f"after {place}"]: happen}
+    once.hooks.at = {POINTS[f"after {place}"]: run_fault}
     first = _same_order(context, 0)
-    once.end_step()
+    once.restore()
     context.outcomes = [first, *(second or [_same_order(context, 1)])]
 
 
 @then("routing's first answer is {first}, the second is {second} and the key ran {runs:d} times")
 def step_both_answers(context, first, second, runs):
-    told = [_told(outcome) for outcome in context.outcomes]
-    assert told == [first, second], told
+    described = [_describe(outcome) for outcome in context.outcomes]
+    assert described == [first, second], described
     assert sum(len(found) for found in context.once.runs.values()) == runs
 
 
-def _told(outcome):
+def _describe(outcome):
     match outcome:
         case None:
             return "none"
@@ -141,24 +141,24 @@
     return f"{refusal.reason.value} {refusal.run_state.value}"
 
 
-class HangingClaims:
+class BlockingClaims:
     """Claims of a ledger that takes nothing."""
 
     def __init__(self):
         self.tries = 0
-        self.trying = threading.Event()
-        self.go_on = threading.Event()
+        self.record_called = threading.Event()
+        self.release = threading.Event()
 
     def record(self, key, attempt_id, state, answer, timeout_s):
         self.tries += 1
-        self.trying.set()
-        self.go_on.wait(60)
+        self.record_called.set()
+        self.release.wait(60)
         return Failure(LedgerError(LedgerErrorKind.UNAVAILABLE, "no majority"))
 
 
 @given("routing holds {count:d} outcomes that a ledger without a majority does not take")
 def step_pending(context, count):
-    context.claims = HangingClaims()
+    context.claims = BlockingClaims()
     context.recorder = OutcomeRecorder(SystemClock())
     for number in range(count):
         holder = ClaimHolder(f"shop/{number}", "attempt", context.claims)
@@ -170,11 +170,11 @@
     stopping = threading.Event()
     pool = ThreadPoolExecutor(1)
     context.cleanup.callback(pool.shutdown)
-    context.cleanup.callback(context.claims.go_on.set)
+    context.cleanup.callback(context.claims.release.set)
     context.task = pool.submit(context.recorder.run, stopping)
-    assert context.claims.trying.wait(20)
+    assert context.claims.record_called.wait(20)
     stopping.set()
-    context.claims.go_on.set()
+    context.claims.release.set()
 
 
 @then("routing's recording task ends after that try")
--- a/features/steps/routing_steps.py
+++ b/features/steps/routing_steps.py
@@ -19,7 +19,7 @@
     tokens_of,
 )
 from support.routing_fakes import TYPED_FAULTS, Fault
-from support.routing_once_setting import recover, stop_probes
+from support.routing_once_fixture import recover, stop_probes
 from support.waiting import wait_until
 
 FAULTS = st.lists(st.sampled_from(TYPED_FAULTS), max_size=3)
@@ -236,7 +236,7 @@
 @when("routing's worker {name} leaves by {source}")
 def step_leaves(context, name, source):
     application = context.cluster.platform.applications[name]
-    context.leaver = application
+    context.leaving_worker = application
     if source == "the operator":
         context.cluster.leaving.add(name)
         context.cluster.configure()
@@ -252,15 +252,15 @@
 def step_nothing_new(context):
     views = context.node.backend_views
 
-    def is_out():
-        found = [view for view in views.views("shop") if view.worker == context.leaver.name]
+    def is_marked_leaving():
+        found = [view for view in views.views("shop") if view.worker == context.leaving_worker.name]
         return all(view.leaving for view in found)
 
-    wait_until(is_out, "the leaving worker is known to leave")
-    before = context.leaver.attempts
+    wait_until(is_marked_leaving, "the leaving worker is known to leave")
+    before = context.leaving_worker.attempts
     for _ in range(20):
         context.node.forward(context.cluster.application_request()).unwrap()
-    assert context.leaver.attempts == before
+    assert context.leaving_worker.attempts == before
 
 
 @when("routing's callers give each worker {count:d} times less time than it takes")
--- a/features/steps/routing_stream_steps.py
+++ b/features/steps/routing_stream_steps.py
@@ -12,8 +12,8 @@
     held_generation,
     tokens_of,
 )
-from support.routing_fakes import SILENCE_S, Fault
-from support.routing_once_setting import recover, stop_probes
+from support.routing_fakes import STALL_DURATION_S, Fault
+from support.routing_once_fixture import recover, stop_probes
 from support.waiting import wait_until
 
 
@@ -62,24 +62,24 @@
 def step_silent(context, tokens, probes):
     engines = context.cluster.engines
     for engine in engines:
-        engine.silent_after = tokens
+        engine.stall_after = tokens
     context.request = context.cluster.generation_request()
     generation = context.node.generate(context.request).unwrap()
     context.silent = next(engine for engine in engines if engine.started)
-    context.silent.frozen = probes == "answers no probes"
+    context.silent.ignores_probes = probes == "answers no probes"
     for engine in engines:
         if engine is not context.silent:
-            engine.silent_after = None
-    began_s = time.monotonic()
+            engine.stall_after = None
+    started_s = time.monotonic()
     context.chunks = chunks_of(generation)
-    context.took_s = time.monotonic() - began_s
+    context.elapsed_s = time.monotonic() - started_s
 
 
 @then("routing's answer is whole long before the silence ends, and the silent attempt is cancelled")
 def step_silence_mended(context):
     tokens = sum((chunk.tokens for chunk in context.chunks), ())
     assert tokens == tokens_of(context.request)
-    assert context.took_s < SILENCE_S / 2, context.took_s
+    assert context.elapsed_s < STALL_DURATION_S / 2, context.elapsed_s
     attempt = context.silent.started[0].attempt_id
     wait_until(lambda: attempt in context.silent.cancelled, "the silent engine has been told")
 
@@ -88,7 +88,7 @@
 def step_silent_alone(context):
     stop_probes(context.node.backend_views)
     for engine in context.cluster.engines:
-        engine.silent_after = 3
+        engine.stall_after = 3
     context.generation = context.node.generate(context.cluster.generation_request()).unwrap()
     views = context.node.backend_views
     for engine in context.cluster.engines:
@@ -131,7 +131,7 @@
 def step_trial(context):
     step_circuits_open(context)
     for engine in context.cluster.engines:
-        engine.silent_after = 1
+        engine.stall_after = 1
     generation = context.node.generate(context.cluster.generation_request()).unwrap()
     context.cleanup.callback(generation.cancel)
     context.chunks = iter(generation)
--- a/features/support/routing_claims.py
+++ b/features/support/routing_claims.py
@@ -30,7 +30,7 @@
     LOST_AFTER = "appended, answer lost"
 
 
-class Point(enum.Enum):
+class RequestPoint(enum.Enum):
     """Points of a request's way at which something may happen."""
 
     CLAIMED = "after the claim"
@@ -57,7 +57,7 @@
         return done
 
 
-class LateExecutors(InlineExecutors):
+class DeferredExecutors(InlineExecutors):
     """Runs submitted calls when the test says so, as a busy node would: later."""
 
     def __init__(self) -> None:
@@ -68,7 +68,7 @@
         self.later.append(lambda: function(*arguments, **keywords))
         return Future()
 
-    def run_later(self) -> None:
+    def run_deferred(self) -> None:
         """Run what was submitted; what a killed node submitted has no effect."""
         while self.later:
             with suppress(NodeKilledError):
@@ -93,12 +93,12 @@
 
 
 @dataclass
-class Happenings:
+class PointHooks:
     """What happens at which point of the request under way; each once."""
 
-    at: dict[Point, Callable[[], None]] = field(default_factory=dict)
+    at: dict[RequestPoint, Callable[[], None]] = field(default_factory=dict)
 
-    def reach(self, point: Point) -> None:
+    def trigger(self, point: RequestPoint) -> None:
         action = self.at.pop(point, None)
         if action is not None:
             action()
@@ -117,9 +117,9 @@
 
     name = names.LEDGER
 
-    def __init__(self, shared: SharedLedger, happenings: Happenings) -> None:
+    def __init__(self, shared: SharedLedger, hooks: PointHooks) -> None:
         self._shared = shared
-        self._happenings = happenings
+        self._happenings = hooks
         self.killed = False
 
     def start(self):
@@ -133,8 +133,8 @@
 
     def submit(self, key, command, timeout_s):
         outcome = self._call(lambda: self._shared.machine.apply(command))
-        point = Point.CLAIMED if isinstance(command, ClaimKey) else Point.RECORDED
-        self._happenings.reach(point)
+        point = RequestPoint.CLAIMED if isinstance(command, ClaimKey) else RequestPoint.RECORDED
+        self._happenings.trigger(point)
         self.check()
         return outcome
 
@@ -173,7 +173,7 @@
         return Success(taken)
 
 
-class NobodyDied(Service, Membership):
+class EmptyMembership(Service, Membership):
     """A membership that has noticed no death yet."""
 
     name = names.MEMBERSHIP
--- a/features/support/routing_cluster.py
+++ b/features/support/routing_cluster.py
@@ -25,7 +25,7 @@
 from bellweir.routing.service import DispatcherService
 from bellweir.routing.views_service import BackendViewsService
 from bellweir.settings.models import NodeIdentity, RoutingSettings, Settings
-from support.routing_claims import InlineExecutors, LateExecutors
+from support.routing_claims import InlineExecutors, DeferredExecutors
 from support.routing_fakes import (
     FakeApplication,
     FakeConfiguration,
@@ -138,8 +138,8 @@
         self.nodes.append(dispatcher)
         if issubclass(self.make_executors, InlineExecutors):
             views._tick(self.clock.monotonic_s())
-            if issubclass(self.make_executors, LateExecutors):
-                kernel.executors.run_later()
+            if issubclass(self.make_executors, DeferredExecutors):
+                kernel.executors.run_deferred()
         self.await_ready(views)
         dispatcher.backend_views = views
         return dispatcher
--- a/features/support/routing_fakes.py
+++ b/features/support/routing_fakes.py
@@ -26,7 +26,7 @@
 from bellweir.kernel import names
 from bellweir.kernel.service import Service
 
-SILENCE_S = 25.0
+STALL_DURATION_S = 25.0
 """How long a silent engine stays silent unless its stream is closed."""
 
 
@@ -125,9 +125,9 @@
     dead: bool = False
     leaving: bool = False
     gate: threading.Event | None = None
-    silent_after: int | None = None
+    stall_after: int | None = None
     """Tokens after which each stream falls silent."""
-    frozen: bool = False
+    ignores_probes: bool = False
     """Whether probes get no answer either."""
     swap_refusals: int = 0
     read_to_end: int = 0
@@ -150,7 +150,7 @@
         return Success(None)
 
     def read_state(self, timeout_s):
-        if self.frozen:
+        if self.ignores_probes:
             return Failure(error_of(Fault.LOST_ANSWER))
         if self.dead:
             return Failure(error_of(Fault.REFUSED))
@@ -181,8 +181,8 @@
             if self._engine.gate is not None:
                 while not self._engine.gate.wait(0.01) and not self._closed.is_set():
                     pass
-            if count == self._engine.silent_after:
-                self._closed.wait(SILENCE_S)
+            if count == self._engine.stall_after:
+                self._closed.wait(STALL_DURATION_S)
             if count == self._cut_after or self._closed.is_set() or self._engine.dead:
                 yield Failure(error_of(Fault.LOST_ANSWER))
                 return
--- a/features/support/routing_once_setting.py
+++ b/features/support/routing_once_fixture.py
@@ -7,23 +7,23 @@
 from bellweir.ledger.claims_service import ClaimsService
 from bellweir.routing.views_service import BackendViewsService
 from support.routing_claims import (
-    Happenings,
-    LateExecutors,
-    NobodyDied,
+    PointHooks,
+    DeferredExecutors,
+    EmptyMembership,
     NodeLedger,
     OffsetClock,
-    Point,
+    RequestPoint,
     SharedLedger,
 )
 from support.routing_cluster import APPLICATION_POOL, RoutingCluster
 
 LONG_TIMEOUT_S = 2000.0
 CLAIM_WINDOW_S = 100.0
-KEPT_WINDOWS = 1 + TOMBSTONE_WINDOWS
+KEY_RETENTION_WINDOWS = 1 + TOMBSTONE_WINDOWS
 """Windows after which a key is forgotten and may be claimed anew."""
 
 
-@dataclass(frozen=True)
+@dataclass(ignores_probes=True)
 class Run:
     """One run as a back end logged it."""
 
@@ -34,16 +34,16 @@
     body: bytes
 
 
-class OnceSetting:
+class OnceFixture:
     """What all examples of the state machine share; each uses keys of its own."""
 
     def __init__(self, cleanup: ExitStack, nodes: int = 3) -> None:
         self.clock = OffsetClock()
         self.ledger = SharedLedger()
-        self.happenings = Happenings()
+        self.hooks = PointHooks()
         self.runs: dict[str, list[Run]] = {}
         self.faults: list = []
-        self.cluster = RoutingCluster(cleanup, clock=self.clock, make_executors=LateExecutors)
+        self.cluster = RoutingCluster(cleanup, clock=self.clock, make_executors=DeferredExecutors)
         self.cluster.pool_options[APPLICATION_POOL] = {
             "once_paths": ("/orders",),
             "claim_window_s": CLAIM_WINDOW_S,
@@ -51,21 +51,21 @@
         self.cluster.add_applications(3)
         self.node_ledgers = []
         for _ in range(nodes):
-            self.node_ledgers.append(NodeLedger(self.ledger, self.happenings))
-            self.cluster.extra_services = [self.node_ledgers[-1], NobodyDied()]
+            self.node_ledgers.append(NodeLedger(self.ledger, self.hooks))
+            self.cluster.extra_services = [self.node_ledgers[-1], EmptyMembership()]
             self.cluster.late_services = [ClaimsService]
             stop_probes(self.cluster.add_node().backend_views)
         for application in self.cluster.applications:
             application.faults = self.faults
-            application.on_run = self._ran
-            application.on_written = lambda: self.happenings.reach(Point.BEFORE_RUN)
+            application.on_run = self._record_run
+            application.on_written = lambda: self.hooks.trigger(RequestPoint.BEFORE_RUN)
 
-    def _ran(self, call) -> None:
+    def _record_run(self, call) -> None:
         key = dict(call.headers)["Idempotency-Key"]
         number = int(call.attempt_id.split("/")[0].rpartition("-")[2])
         run = Run(self.clock.monotonic_s(), number, call.path, call.body)
         self.runs.setdefault(key, []).append(run)
-        self.happenings.reach(Point.AFTER_RUN)
+        self.hooks.trigger(RequestPoint.AFTER_RUN)
 
     def runs_of(self, key: str, path: str, body: bytes, since_s: float) -> list[Run]:
         """Runs of a request in the last `since_s` seconds."""
@@ -83,20 +83,20 @@
     def is_killed(self, node: int) -> bool:
         return self.node_ledgers[node].killed
 
-    def run_late(self) -> None:
+    def run_deferred_calls(self) -> None:
         """Let every node that lives do what it has put off."""
         for ledger, node in zip(self.node_ledgers, self.cluster.nodes, strict=True):
             if not ledger.killed:
-                node._kernel.executors.run_later()
+                node._kernel.executors.run_deferred()
 
     def reset(self) -> None:
-        self.end_step()
+        self.restore()
         for node in self.cluster.nodes:
             node._runtimes._runtimes.clear()  # retry budgets as at the start
 
-    def end_step(self) -> None:
+    def restore(self) -> None:
         """Replace killed nodes, clear faults, and let every worker be usable again."""
-        self.happenings.at = {}
+        self.hooks.at = {}
         self.faults.clear()
         self.ledger.faults.clear()
         for ledger, node in zip(self.node_ledgers, self.cluster.nodes, strict=True):
@@ -104,7 +104,7 @@
                 node._recorder._pending.clear()
                 node._kernel.executors.later.clear()
             ledger.killed = False
-            node._kernel.executors.run_later()
+            node._kernel.executors.run_deferred()
             node._recorder.flush()
         for node in self.cluster.nodes:
             recover(node.backend_views)
