--- a/features/routing_once.feature
+++ b/features/routing_once.feature
@@ -5,7 +5,7 @@
     Given routing of once requests over 3 nodes and 3 application workers
 
   Scenario: At most once under losses, kills, pauses and repeats at every point
-    Then routing runs each key at most once and tells the truth, whatever is lost, killed or paused
+    Then routing runs each key at most once and reports its state correctly under losses, kills, pauses
 
   Scenario Outline: What a request that must not be repeated is told
     When routing is sent an order <first>, and then through another node <second>
@@ -28,12 +28,12 @@
       | with key k, claim answers lost | with key k             | its own               | 1    |
 
   Scenario: A stop does not wait for a ledger without a majority
-    Given routing holds 50 outcomes that a ledger without a majority does not take
-    When routing's recording task is told to stop during a try
-    Then routing's recording task ends after that try
+    Given routing holds 50 outcomes that a ledger without a majority cannot record
+    When routing's recording task is stopped during an attempt to record
+    Then routing's recording task ends after that attempt
 
   Scenario: A pool that makes keys serves orders that bring none
-    Given routing's pool makes keys
+    Given routing's pool generates keys
     When routing is sent an order without a key, and then through another node without a key
     Then routing's second answer is its own and the orders ran 2 times
 
--- a/features/steps/routing_once_steps.py
+++ b/features/steps/routing_once_steps.py
@@ -14,8 +14,8 @@
     body_of,
 )
 from support.routing_fakes import Fault
-from support.routing_once_machine import bind_machine
 from support.routing_once_fixture import CLAIM_WINDOW_S, OnceFixture, recover
+from support.routing_once_machine import bind_machine
 
 
 @given("routing of once requests over 3 nodes and 3 application workers")
@@ -24,7 +24,9 @@
     context.cluster = context.once.cluster
 
 
-@then("routing runs each key at most once and tells the truth, whatever is lost, killed or paused")
+@then(
+    "routing runs each key at most once and reports its state correctly under losses, kills, pauses"
+)
 def step_at_most_once(context):
     run_state_machine_as_test(
         bind_machine(context.once), settings=settings(max_examples=200, stateful_step_count=20)
@@ -32,7 +34,7 @@
 
 
 def _order(context, node, description):
-    """Send an order in the manner that the words say."""
+    """Send an order under the described conditions."""
     once = context.once
     if "a window later" in description:
         once.clock.offset_s += CLAIM_WINDOW_S * 1.5
@@ -63,7 +65,7 @@
     return outcome
 
 
-@given("routing's pool makes keys")
+@given("routing's pool generates keys")
 def step_makes_keys(context):
     context.cluster.pool_options["shop"]["generate_keys"] = True
     context.cluster.configure()
@@ -142,7 +144,7 @@
 
 
 class BlockingClaims:
-    """Claims of a ledger that takes nothing."""
+    """Claims of a ledger that blocks, then fails, every record."""
 
     def __init__(self):
         self.tries = 0
@@ -156,7 +158,7 @@
         return Failure(LedgerError(LedgerErrorKind.UNAVAILABLE, "no majority"))
 
 
-@given("routing holds {count:d} outcomes that a ledger without a majority does not take")
+@given("routing holds {count:d} outcomes that a ledger without a majority cannot record")
 def step_pending(context, count):
     context.claims = BlockingClaims()
     context.recorder = OutcomeRecorder(SystemClock())
@@ -165,7 +167,7 @@
         context.recorder.record_later(holder, ClaimState.UNKNOWN)
 
 
-@when("routing's recording task is told to stop during a try")
+@when("routing's recording task is stopped during an attempt to record")
 def step_stop_recording(context):
     stopping = threading.Event()
     pool = ThreadPoolExecutor(1)
@@ -177,7 +179,7 @@
     context.claims.release.set()
 
 
-@then("routing's recording task ends after that try")
+@then("routing's recording task ends after that attempt")
 def step_recording_ended(context):
     context.task.result(20)
     assert context.claims.tries == 1
--- a/features/steps/routing_steps.py
+++ b/features/steps/routing_steps.py
@@ -38,7 +38,7 @@
     context.node = context.cluster.add_node()
 
 
-@then("routing streams stay whole for any cuts")
+@then("routing's streams are complete for any stream failures")
 def step_streams_whole(context):
     cuts = st.lists(st.lists(st.integers(1, 4), max_size=2), min_size=3, max_size=3)
 
@@ -60,7 +60,7 @@
 
 
 @when(
-    "routing generates {tokens:d} tokens while the first engine breaks after {cut:d}"
+    "routing generates {tokens:d} tokens while the first engine's stream fails after {cut:d}"
     " and the others hold version {version:d}"
 )
 def step_versions(context, tokens, cut, version):
@@ -105,12 +105,12 @@
 def step_cancelled(context):
     engine = next(engine for engine in context.cluster.engines if engine.started)
     attempt = engine.started[0].attempt_id
-    wait_until(lambda: attempt in engine.cancelled, "the engine has been told")
+    wait_until(lambda: attempt in engine.cancelled, "the attempt is cancelled on its engine")
     if hasattr(context, "reading"):
         assert context.reading.result(20) == []
 
 
-@then("routing has nothing in hand")
+@then("routing has no request in flight")
 def step_nothing_in_hand(context):
     views = context.node.backend_views.pools()
     held = [backend.in_flight for pool in views.values() for backend in pool.backends]
@@ -136,7 +136,7 @@
     assert refusal.retry_after_s is not None
 
 
-@then("routing's running stream ends whole before the drain does")
+@then("routing's running stream completes before the drain does")
 def step_drained(context):
     assert not context.drain.done()
     context.gate.set()
@@ -145,7 +145,7 @@
     assert sum((chunk.tokens for chunk in chunks), ()) == tokens_of(context.request)
 
 
-@then("routing answers lookups whole after one fault of any kind")
+@then("routing answers lookups completely after one fault of any kind")
 def step_lookups(context):
     for fault in TYPED_FAULTS:
         one_fault = [fault]
@@ -164,12 +164,12 @@
 
 
 def _await_recovery(context):
-    """Let probes and half-open trials bring every worker back."""
+    """Recover every worker and wait until all are ready."""
     recover(context.node.backend_views)
     context.cluster.await_ready(context.node.backend_views)
 
 
-@then("routing's refusals of interactive posts tell the truth for any faults")
+@then("routing's refusals of interactive posts state correctly whether they ran, for any faults")
 def step_truth(context):
     @settings(max_examples=60)
     @drawn(faults=st.tuples(FAULTS, FAULTS, FAULTS))
@@ -197,13 +197,13 @@
     return sum(len(application.ran) for application in context.cluster.applications)
 
 
-@given("routing's worker {name} is dead but not yet noticed")
+@given("routing's worker {name} is dead but not yet detected")
 def step_dead_worker(context, name):
     stop_probes(context.node.backend_views)
     context.cluster.platform.applications[name].dead = True
 
 
-@given("routing's workers are all dead but not yet noticed")
+@given("routing's workers are all dead but not yet detected")
 def step_all_dead(context):
     stop_probes(context.node.backend_views)
     for application in context.cluster.applications:
@@ -248,7 +248,7 @@
             body_of(context.node.forward(context.cluster.application_request()).unwrap())
 
 
-@then("routing soon sends it nothing new")
+@then("routing soon sends it no new requests")
 def step_nothing_new(context):
     views = context.node.backend_views
 
@@ -256,14 +256,14 @@
         found = [view for view in views.views("shop") if view.worker == context.leaving_worker.name]
         return all(view.leaving for view in found)
 
-    wait_until(is_marked_leaving, "the leaving worker is known to leave")
+    wait_until(is_marked_leaving, "the worker is marked as leaving")
     before = context.leaving_worker.attempts
     for _ in range(20):
         context.node.forward(context.cluster.application_request()).unwrap()
     assert context.leaving_worker.attempts == before
 
 
-@when("routing's callers give each worker {count:d} times less time than it takes")
+@when("routing's callers send each worker {count:d} requests with too short a deadline")
 def step_hurry(context, count):
     stop_probes(context.node.backend_views)
     context.outcomes = []
--- a/features/steps/routing_stream_steps.py
+++ b/features/steps/routing_stream_steps.py
@@ -17,7 +17,7 @@
 from support.waiting import wait_until
 
 
-@when("routing generates while all engines swap and one ends its swap after refusing")
+@when("routing generates while all engines swap weights and one completes its swap after refusing")
 def step_swapping(context):
     stop_probes(context.node.backend_views)
     engines = context.cluster.engines
@@ -27,7 +27,7 @@
     context.cleanup.callback(pool.shutdown)
 
     def end_swap():
-        wait_until(lambda: sum(e.swap_refusals for e in engines) == 3, "all have refused")
+        wait_until(lambda: sum(e.swap_refusals for e in engines) == 3, "every engine has refused")
         engines[0].version = 2
         recover(context.node.backend_views)
 
@@ -36,7 +36,7 @@
     context.outcome = context.node.generate(context.request)
 
 
-@then("routing's answer is whole and cost each engine at most one refusal")
+@then("routing's answer is complete after at most one refusal by each engine")
 def step_waited(context):
     chunks = chunks_of(context.outcome.unwrap())
     assert sum((chunk.tokens for chunk in chunks), ()) == tokens_of(context.request)
@@ -51,14 +51,14 @@
     context.outcome = context.node.generate(context.cluster.generation_request())
 
 
-@then("routing refuses it as no_backend and not run, with a time to return")
+@then("routing refuses it as no_backend and not run, with a retry delay")
 def step_no_backend(context):
     refusal = context.outcome.failure()
     assert (refusal.reason, refusal.run_state) == (RefusalReason.NO_BACKEND, RunState.NOT_RUN)
     assert refusal.retry_after_s is not None
 
 
-@when("routing generates while the first engine falls silent after {tokens:d} tokens and {probes}")
+@when("routing generates while the first engine stalls after {tokens:d} tokens and {probes}")
 def step_silent(context, tokens, probes):
     engines = context.cluster.engines
     for engine in engines:
@@ -75,16 +75,21 @@
     context.elapsed_s = time.monotonic() - started_s
 
 
-@then("routing's answer is whole long before the silence ends, and the silent attempt is cancelled")
+@then(
+    "routing's answer is complete long before the stall ends, and the stalled attempt is cancelled"
+)
 def step_silence_mended(context):
     tokens = sum((chunk.tokens for chunk in context.chunks), ())
     assert tokens == tokens_of(context.request)
     assert context.elapsed_s < STALL_DURATION_S / 2, context.elapsed_s
     attempt = context.silent.started[0].attempt_id
-    wait_until(lambda: attempt in context.silent.cancelled, "the silent engine has been told")
+    wait_until(
+        lambda: attempt in context.silent.cancelled,
+        "the attempt is cancelled on the stalled engine",
+    )
 
 
-@when("routing generates while the first engine falls silent and the others are dead")
+@when("routing generates while the first engine stalls and the others are dead")
 def step_silent_alone(context):
     stop_probes(context.node.backend_views)
     for engine in context.cluster.engines:
@@ -98,10 +103,10 @@
     context.cleanup.callback(pool.shutdown)
     pool.submit(list, context.generation)
     context.cleanup.callback(context.generation.cancel)
-    wait_until(lambda: len(context.generation._generated) == 3, "the stream is silent")
+    wait_until(lambda: len(context.generation._generated) == 3, "the stream is stalled")
 
 
-@then("routing's watch leaves the stream alone")
+@then("routing's watchdog does not abort the stream")
 def step_left_alone(context):
     context.generation._reading_since_s -= 1000.0
     context.node._watch.check_streams()
@@ -127,7 +132,7 @@
     assert body_of(context.node.forward(context.cluster.application_request()).unwrap())
 
 
-@when("routing's engines have open circuits and a long stream has begun as the trial")
+@when("routing's engines have open circuits and a long stream has started as the trial")
 def step_trial(context):
     step_circuits_open(context)
     for engine in context.cluster.engines:
@@ -190,12 +195,12 @@
         hang(engine)
         for number in range(count):
             cancellations.cancel(engine.name, engine, f"attempt-{number}")
-    wait_until(lambda: len(context.calling) == 3, "each engine is called")
+    wait_until(lambda: len(context.calling) == 3, "a cancellation is running on each engine")
 
 
 @then(
-    "routing holds at most {threads:d} background threads for it,"
-    " and tells the engines all when they come back"
+    "routing uses at most {threads:d} background threads for it,"
+    " and cancels all attempts when the engines respond again"
 )
 def step_few_threads(context, threads):
     assert len(context.calling) <= threads
--- a/features/support/routing_claims.py
+++ b/features/support/routing_claims.py
@@ -1,4 +1,4 @@
-"""A ledger in memory with its own machine of claims, reached through nodes that can be killed."""
+"""In-memory ledger with a claims state machine, used through nodes that can be killed."""
 
 import enum
 import time
@@ -19,11 +19,11 @@
 
 
 class NodeKilledError(BaseException):
-    """Ends a call at the point where its node died; nothing of that node has effect after it."""
+    """Unwinds a call on a killed node, which has no effect from then on."""
 
 
 class LedgerFault(enum.Enum):
-    """What happens to the next call of the ledger."""
+    """Fault injected into the next call of the ledger."""
 
     UNAVAILABLE = "no leader"
     LOST_BEFORE = "sent, never appended"
@@ -31,7 +31,7 @@
 
 
 class RequestPoint(enum.Enum):
-    """Points of a request's way at which something may happen."""
+    """Points of a request at which a fault can be injected."""
 
     CLAIMED = "after the claim"
     BEFORE_RUN = "after the write, before the run"
@@ -40,7 +40,7 @@
 
 
 class InlineExecutors(Executors):
-    """Runs submitted calls at once on the caller's thread, so that examples can be repeated."""
+    """Runs submitted calls synchronously on the caller's thread, for deterministic examples."""
 
     def submit(self, kind, function, *arguments, **keywords):
         done = Future()
@@ -51,14 +51,14 @@
         return done
 
     def run_task(self, name, function):
-        """Tests take the steps of tasks by hand."""
+        """Do not start the task; tests execute its steps explicitly."""
         done = Future()
         done.set_result(None)
         return done
 
 
 class DeferredExecutors(InlineExecutors):
-    """Runs submitted calls when the test says so, as a busy node would: later."""
+    """Defers submitted calls until the test runs them, like a busy node."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -69,14 +69,14 @@
         return Future()
 
     def run_deferred(self) -> None:
-        """Run what was submitted; what a killed node submitted has no effect."""
+        """Run the deferred calls; those of a killed node have no effect."""
         while self.later:
             with suppress(NodeKilledError):
                 self.later.pop(0)()
 
 
 class OffsetClock(SystemClock):
-    """The real clock, which tests move ahead and which waits for nothing."""
+    """System clock with an adjustable offset; waits advance the offset instead of blocking."""
 
     def __init__(self) -> None:
         self.offset_s = 0.0
@@ -94,7 +94,7 @@
 
 @dataclass
 class PointHooks:
-    """What happens at which point of the request under way; each once."""
+    """Actions to run at points of the current request, once each."""
 
     at: dict[RequestPoint, Callable[[], None]] = field(default_factory=dict)
 
@@ -105,7 +105,7 @@
 
 
 class SharedLedger:
-    """The one truth that the ledgers of all nodes reach."""
+    """Claims state shared by the ledgers of all nodes."""
 
     def __init__(self) -> None:
         self.machine = ClaimsMachine()
@@ -113,7 +113,7 @@
 
 
 class NodeLedger(Service, Ledger):
-    """One node's way to the shared truth, until the node is killed."""
+    """A node's access to the shared ledger, until the node is killed."""
 
     name = names.LEDGER
 
@@ -174,7 +174,7 @@
 
 
 class EmptyMembership(Service, Membership):
-    """A membership that has noticed no death yet."""
+    """Membership without members, which never reports a failed node."""
 
     name = names.MEMBERSHIP
 
--- a/features/support/routing_cluster.py
+++ b/features/support/routing_cluster.py
@@ -25,7 +25,7 @@
 from bellweir.routing.service import DispatcherService
 from bellweir.routing.views_service import BackendViewsService
 from bellweir.settings.models import NodeIdentity, RoutingSettings, Settings
-from support.routing_claims import InlineExecutors, DeferredExecutors
+from support.routing_claims import DeferredExecutors, InlineExecutors
 from support.routing_fakes import (
     FakeApplication,
     FakeConfiguration,
--- a/features/support/routing_fakes.py
+++ b/features/support/routing_fakes.py
@@ -1,4 +1,4 @@
-"""A platform, a configuration and claims in memory, with back ends that log what they run."""
+"""In-memory platform and configuration with back ends that record their requests."""
 
 import threading
 from dataclasses import dataclass, field
@@ -27,11 +27,11 @@
 from bellweir.kernel.service import Service
 
 STALL_DURATION_S = 25.0
-"""How long a silent engine stays silent unless its stream is closed."""
+"""Duration of a stall unless the stream is closed."""
 
 
 class Fault(Enum):
-    """What happens to the next call of a back end."""
+    """Fault injected into the next call of a back end."""
 
     REFUSED = "no connection"
     LOST_REQUEST = "a byte was written, but the request never ran"
@@ -46,7 +46,7 @@
 
 
 class UnexpectedError(Exception):
-    """Raised by a client against its interface."""
+    """Exception that a client raises in violation of its interface."""
 
 
 FAULT_ERRORS = {
@@ -109,7 +109,7 @@
 
 
 def token_of(prompt: str, position: int) -> int:
-    """The token every engine generates at a position, so that gaps and repeats show."""
+    """Return the token that every engine generates at a position, to detect gaps and repeats."""
     return hash((len(prompt), position)) % 1000
 
 
@@ -121,17 +121,17 @@
     started: list = field(default_factory=list)
     cancelled: list = field(default_factory=list)
     cut_after: list = field(default_factory=list)
-    """Tokens after which each coming stream breaks; an empty list breaks none."""
+    """Number of tokens after which each of the next streams fails."""
     dead: bool = False
     leaving: bool = False
     gate: threading.Event | None = None
     stall_after: int | None = None
-    """Tokens after which each stream falls silent."""
+    """Number of tokens after which each stream stalls."""
     ignores_probes: bool = False
-    """Whether probes get no answer either."""
+    """Whether health probes get no answer."""
     swap_refusals: int = 0
     read_to_end: int = 0
-    """Streams of which the end marker was read."""
+    """Number of streams that were read to their end marker."""
     maximum_batch: int = 64
 
     def generate(self, call):
@@ -197,7 +197,7 @@
 
 
 class FakePlatform(Service, PlatformClients):
-    """Back ends by address."""
+    """Platform clients for fake back ends, by address."""
 
     name = names.PLATFORM
 
--- a/features/support/routing_once_fixture.py
+++ b/features/support/routing_once_fixture.py
@@ -1,4 +1,4 @@
-"""Three nodes, shared claims and back ends, for requests that must not be repeated."""
+"""Fixture of nodes, shared claims and back ends for tests of at-most-once requests."""
 
 from contextlib import ExitStack
 from dataclasses import dataclass
@@ -7,11 +7,11 @@
 from bellweir.ledger.claims_service import ClaimsService
 from bellweir.routing.views_service import BackendViewsService
 from support.routing_claims import (
-    PointHooks,
     DeferredExecutors,
     EmptyMembership,
     NodeLedger,
     OffsetClock,
+    PointHooks,
     RequestPoint,
     SharedLedger,
 )
@@ -20,22 +20,22 @@
 LONG_TIMEOUT_S = 2000.0
 CLAIM_WINDOW_S = 100.0
 KEY_RETENTION_WINDOWS = 1 + TOMBSTONE_WINDOWS
-"""Windows after which a key is forgotten and may be claimed anew."""
+"""Number of claim windows after which a key may be claimed again."""
 
 
-@dataclass(ignores_probes=True)
+@dataclass(frozen=True)
 class Run:
-    """One run as a back end logged it."""
+    """Execution of a request, as recorded by a back end."""
 
     at_s: float
     request_number: int
-    """Requests are numbered in the order in which they were sent."""
+    """Number in the order of sending."""
     path: str
     body: bytes
 
 
 class OnceFixture:
-    """What all examples of the state machine share; each uses keys of its own."""
+    """Nodes and back ends shared by all examples, each of which uses its own keys."""
 
     def __init__(self, cleanup: ExitStack, nodes: int = 3) -> None:
         self.clock = OffsetClock()
@@ -68,7 +68,7 @@
         self.hooks.trigger(RequestPoint.AFTER_RUN)
 
     def runs_of(self, key: str, path: str, body: bytes, since_s: float) -> list[Run]:
-        """Runs of a request in the last `since_s` seconds."""
+        """Return the runs of a request in the last `since_s` seconds."""
         after_s = self.clock.monotonic_s() - since_s
         runs = self.runs.get(key, [])
         return [run for run in runs if (run.path, run.body) == (path, body) and run.at_s >= after_s]
@@ -84,7 +84,7 @@
         return self.node_ledgers[node].killed
 
     def run_deferred_calls(self) -> None:
-        """Let every node that lives do what it has put off."""
+        """Run the deferred calls of every running node."""
         for ledger, node in zip(self.node_ledgers, self.cluster.nodes, strict=True):
             if not ledger.killed:
                 node._kernel.executors.run_deferred()
@@ -92,10 +92,10 @@
     def reset(self) -> None:
         self.restore()
         for node in self.cluster.nodes:
-            node._runtimes._runtimes.clear()  # retry budgets as at the start
+            node._runtimes._runtimes.clear()  # resets the retry budgets
 
     def restore(self) -> None:
-        """Replace killed nodes, clear faults, and let every worker be usable again."""
+        """Restart killed nodes, clear faults and make every worker usable."""
         self.hooks.at = {}
         self.faults.clear()
         self.ledger.faults.clear()
@@ -111,12 +111,12 @@
 
 
 def stop_probes(views: BackendViewsService) -> None:
-    """Let nothing be probed but by `recover`."""
+    """Disable probes, except those of `recover`."""
     views._start_probe = lambda _: None
 
 
 def recover(views: BackendViewsService) -> None:
-    """Close circuits, forget what back ends have said and probe them, as time would do."""
+    """Probe all back ends, clear their leaving state and close their circuits."""
     for pool in views.pools().values():
         for backend in pool.backends:
             views._probe(backend.worker)
--- a/features/support/routing_once_machine.py
+++ b/features/support/routing_once_machine.py
@@ -1,4 +1,4 @@
-"""State machine of requests that must not be repeated, against what the back ends ran."""
+"""State machine test of at-most-once requests, checked against the runs on the back ends."""
 
 import itertools
 
@@ -14,7 +14,7 @@
 from support.routing_once_fixture import CLAIM_WINDOW_S, KEY_RETENTION_WINDOWS
 
 MAX_IN_FLIGHT_PAUSE_S = CLAIM_WINDOW_S * (KEY_RETENTION_WINDOWS - 0.5)
-"""A pause beyond the window, but shorter than a key is kept."""
+"""Longer than the claim window, but within the retention of keys."""
 EXAMPLES = itertools.count()
 KEYS = st.integers(0, 2)
 BODIES = st.sampled_from((b"order 100", b"order 200"))
@@ -29,10 +29,10 @@
 
 
 class OnceMachine(RuleBasedStateMachine):
-    """Requests with few keys through three nodes, with losses, kills, pauses and repeats."""
+    """Sends requests with few keys through three nodes under losses, kills, pauses and repeats."""
 
     fixture = None
-    """Set by the step: nodes, back ends, claims and clock that all examples share."""
+    """Nodes, back ends, claims and clock shared by all examples; set by `bind_machine`."""
 
     def __init__(self):
         super().__init__()
@@ -44,14 +44,15 @@
 
     @rule(
         key=KEYS, body=BODIES, node=NODES, path=PATHS, faults=FAULTS, ledger=LEDGER_FAULTS,
-        point=st.sampled_from(RequestPoint), what=st.sampled_from(("kill", "pause", "repeat", "nothing")),
+        point=st.sampled_from(RequestPoint),
+        what=st.sampled_from(("kill", "pause", "repeat", "nothing")),
         other=NODES, pause_s=PAUSES_S,
     )  # fmt: skip
     def send(self, key, body, node, path, faults, ledger, point, what, other, pause_s):
         self.fixture.faults[:] = faults
         self.fixture.ledger.faults[:] = ledger
         if point in (RequestPoint.BEFORE_RUN, RequestPoint.AFTER_RUN):
-            # What is on the wire for longer than a key is kept can't be called back.
+            # A request that was sent cannot be revoked once its key is no longer retained.
             pause_s = min(pause_s, MAX_IN_FLIGHT_PAUSE_S)
         actions = {
             "kill": lambda: self.fixture.kill(node),
@@ -68,12 +69,12 @@
         self._submit(key, body, node, path)
 
     def _pause_and_repeat(self, key, body, node, path, pause_s):
-        """The node under way is paused; another one gets the same key; then it wakes up."""
+        """Pause the current node while another one receives the same key."""
         self.fixture.clock.offset_s += pause_s
         self._run_deferred_and_repeat(key, body, node, path)
 
     def _run_deferred_and_repeat(self, key, body, node, path):
-        """What nodes have put off is done now, and another node gets the same key."""
+        """Run the deferred calls, then send the same key through another node."""
         self.fixture.ledger.faults.clear()
         self.fixture.run_deferred_calls()
         self._submit(key, body, node, path)
@@ -98,8 +99,8 @@
                     since_s = CLAIM_WINDOW_S * KEY_RETENTION_WINDOWS
                     runs = self.fixture.runs_of(name, path, body, since_s)
                     number = int(request.request_id.rpartition("-")[2])
-                    # Neither this request nor an earlier one with its key has run; one that was
-                    # sent while this one was under way may have.
+                    # Neither this request nor an earlier one with its key may have run; requests
+                    # sent while this one was in progress may have.
                     assert all(run.request_number > number for run in runs), refusal
 
     def _check_answer(self, name, body, path, answer):
@@ -114,5 +115,5 @@
 
 
 def bind_machine(fixture):
-    """Bind the machine to a setting."""
+    """Return the state machine class bound to a fixture."""
     return type("BoundOnceMachine", (OnceMachine,), {"fixture": fixture})
