--- a/features/steps/routing_steps.py
+++ b/features/steps/routing_steps.py
@@ -111,7 +111,7 @@
 
 
 @then("routing has no request in flight")
-def step_nothing_in_hand(context):
+def step_none_in_flight(context):
     views = context.node.backend_views.pools()
     held = [backend.in_flight for pool in views.values() for backend in pool.backends]
     assert sum(held) == 0, held
@@ -170,7 +170,7 @@
 
 
 @then("routing's refusals of interactive posts state correctly whether they ran, for any faults")
-def step_truth(context):
+def step_refusals_correct(context):
     @settings(max_examples=60)
     @drawn(faults=st.tuples(FAULTS, FAULTS, FAULTS))
     def truthful(faults):
@@ -264,7 +264,7 @@
 
 
 @when("routing's callers send each worker {count:d} requests with too short a deadline")
-def step_hurry(context, count):
+def step_short_deadlines(context, count):
     stop_probes(context.node.backend_views)
     context.outcomes = []
     for application in context.cluster.applications:
@@ -277,7 +277,7 @@
 
 
 @then("routing refuses them by their deadline and leaves all circuits closed")
-def step_hurried(context):
+def step_deadline_refusals(context):
     refusals = [outcome.failure() for outcome in context.outcomes]
     assert {(found.reason, found.run_state) for found in refusals} == {
         (RefusalReason.DEADLINE, RunState.UNKNOWN)
--- a/features/steps/routing_stream_steps.py
+++ b/features/steps/routing_stream_steps.py
@@ -37,7 +37,7 @@
 
 
 @then("routing's answer is complete after at most one refusal by each engine")
-def step_waited(context):
+def step_complete_after_swap(context):
     chunks = chunks_of(context.outcome.unwrap())
     assert sum((chunk.tokens for chunk in chunks), ()) == tokens_of(context.request)
     assert [engine.swap_refusals for engine in context.cluster.engines] == [1, 1, 1]
@@ -59,16 +59,16 @@
 
 
 @when("routing generates while the first engine stalls after {tokens:d} tokens and {probes}")
-def step_silent(context, tokens, probes):
+def step_stalled(context, tokens, probes):
     engines = context.cluster.engines
     for engine in engines:
         engine.stall_after = tokens
     context.request = context.cluster.generation_request()
     generation = context.node.generate(context.request).unwrap()
-    context.silent = next(engine for engine in engines if engine.started)
-    context.silent.ignores_probes = probes == "answers no probes"
+    context.stalled_engine = next(engine for engine in engines if engine.started)
+    context.stalled_engine.ignores_probes = probes == "answers no probes"
     for engine in engines:
-        if engine is not context.silent:
+        if engine is not context.stalled_engine:
             engine.stall_after = None
     started_s = time.monotonic()
     context.chunks = chunks_of(generation)
@@ -78,19 +78,19 @@
 @then(
     "routing's answer is complete long before the stall ends, and the stalled attempt is cancelled"
 )
-def step_silence_mended(context):
+def step_resumed_after_stall(context):
     tokens = sum((chunk.tokens for chunk in context.chunks), ())
     assert tokens == tokens_of(context.request)
     assert context.elapsed_s < STALL_DURATION_S / 2, context.elapsed_s
-    attempt = context.silent.started[0].attempt_id
+    attempt = context.stalled_engine.started[0].attempt_id
     wait_until(
-        lambda: attempt in context.silent.cancelled,
+        lambda: attempt in context.stalled_engine.cancelled,
         "the attempt is cancelled on the stalled engine",
     )
 
 
 @when("routing generates while the first engine stalls and the others are dead")
-def step_silent_alone(context):
+def step_stalled_without_alternative(context):
     stop_probes(context.node.backend_views)
     for engine in context.cluster.engines:
         engine.stall_after = 3
@@ -107,7 +107,7 @@
 
 
 @then("routing's watchdog does not abort the stream")
-def step_left_alone(context):
+def step_not_aborted(context):
     context.generation._reading_since_s -= 1000.0
     context.node._watch.check_streams()
     assert context.generation._timed_out_attempt_id is None
--- a/src/bellweir/routing/generation.py
+++ b/src/bellweir/routing/generation.py
@@ -181,7 +181,7 @@
         try:
             yield Success(self._accept(chunk, attempt))
         finally:
-            next(chunks, None)  # the end marker, so that the connection can be kept
+            next(chunks, None)  # the end marker, so that the connection can be reused
 
     def _read(self, attempt: RunningAttempt) -> Iterator[Result[TokenChunk, PlatformError]]:
         """Yield the items of an attempt's stream and track the start of each pending read."""
