--- a/features/support/routing_fakes.py
+++ b/features/support/routing_fakes.py
@@ -1,4 +1,4 @@
-"""A platform, a configuration and claims in memory, with back ends that log what they run."""
+"""In-memory platform and configuration with back ends that record their requests."""
 
 import threading
 from dataclasses import dataclass, field
@@ -26,12 +26,12 @@
 from bellweir.kernel import names
 from bellweir.kernel.service import Service
 
-SILENCE_S = 25.0
-"""How long a silent engine stays silent unless its stream is closed."""
+STALL_DURATION_S = 25.0
+"""Duration of a stall unless the stream is closed."""
 
 
 class Fault(Enum):
-    """What happens to the next call of a back end."""
+    """Fault injected into the next call of a back end."""
 
     REFUSED = "no connection"
     LOST_REQUEST = "a byte was written, but the request never ran"
@@ -46,7 +46,7 @@
 
 
 class UnexpectedError(Exception):
-    """Raised by a client against its interface."""
+    """Exception that a client raises in violation of its interface."""
 
 
 FAULT_ERRORS = {
@@ -109,7 +109,7 @@
 
 
 def token_of(prompt: str, position: int) -> int:
-    """The token every engine generates at a position, so that gaps and repeats show."""
+    """Return the token that every engine generates at a position, to detect gaps and repeats."""
     return hash((len(prompt), position)) % 1000
 
 
@@ -121,17 +121,17 @@
     started: list = field(default_factory=list)
     cancelled: list = field(default_factory=list)
     cut_after: list = field(default_factory=list)
-    """Tokens after which each coming stream breaks; an empty list breaks none."""
+    """Number of tokens after which each of the next streams fails."""
     dead: bool = False
     leaving: bool = False
     gate: threading.Event | None = None
-    silent_after: int | None = None
-    """Tokens after which each stream falls silent."""
-    frozen: bool = False
-    """Whether probes get no answer either."""
+    stall_after: int | None = None
+    """Number of tokens after which each stream stalls."""
+    ignores_probes: bool = False
+    """Whether health probes get no answer."""
     swap_refusals: int = 0
     read_to_end: int = 0
-    """Streams of which the end marker was read."""
+    """Number of streams that were read to their end marker."""
     maximum_batch: int = 64
 
     def generate(self, call):
@@ -150,7 +150,7 @@
         return Success(None)
 
     def read_state(self, timeout_s):
-        if self.frozen:
+        if self.ignores_probes:
             return Failure(error_of(Fault.LOST_ANSWER))
         if self.dead:
             return Failure(error_of(Fault.REFUSED))
@@ -181,8 +181,8 @@
             if self._engine.gate is not None:
                 while not self._engine.gate.wait(0.01) and not self._closed.is_set():
                     pass
-            if count == self._engine.silent_after:
-                self._closed.wait(SILENCE_S)
+            if count == self._engine.stall_after:
+                self._closed.wait(STALL_DURATION_S)
             if count == self._cut_after or self._closed.is_set() or self._engine.dead:
                 yield Failure(error_of(Fault.LOST_ANSWER))
                 return
@@ -197,7 +197,7 @@
 
 
 class FakePlatform(Service, PlatformClients):
-    """Back ends by address."""
+    """Platform clients for fake back ends, by address."""
 
     name = names.PLATFORM
 
--- a/src/bellweir/routing/forwarding.py
+++ b/src/bellweir/routing/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwards application requests: choice of worker, attempts, and the body of the answer."""
+"""Forwards application requests to workers, with retries."""
 
 from collections.abc import Callable
 from posixpath import normpath
@@ -17,13 +17,13 @@
 from bellweir.kernel.clock import Clock
 from bellweir.resources.models import Pool, RequestClass
 from bellweir.routing.answers import (
-    BUFFERED_ANSWER_BYTES,
-    HeldBody,
+    MAX_BUFFERED_ANSWER_BYTES,
+    TrackedBody,
     declared_length,
     read_whole,
     with_body,
 )
-from bellweir.routing.attempts import AttemptHold, RequestAttempts, new_attempt_id
+from bellweir.routing.attempts import AttemptSlot, RequestAttempts, new_attempt_id
 from bellweir.routing.backend import Backend
 from bellweir.routing.candidates import candidates
 from bellweir.routing.counters import DispatchCounters
@@ -33,22 +33,25 @@
 from bellweir.routing.views_service import BackendViewsService
 
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "TRACE", "PUT", "DELETE"})
-"""RFC 9110, section 9.2.2."""
+"""As defined in RFC 9110, section 9.2.2."""
 UNSAFE_METHODS = frozenset({"POST", "PUT", "PATCH", "DELETE"})
 
 
-def class_of(request: ApplicationRequest, pool: Pool) -> RequestClass:
-    """The class a request is served in: the pool's `oncePaths` go before the caller's word."""
+def effective_class(request: ApplicationRequest, pool: Pool) -> RequestClass:
+    """Return the class to serve a request with.
+
+    The pool's `oncePaths` take precedence over the class that the caller asks for.
+    """
     if request.method.upper() in UNSAFE_METHODS and _under(request.path, pool.spec.once_paths):
         return RequestClass.ONCE
     return request.request_class
 
 
-def is_repeatable(request: ApplicationRequest, kind: RequestClass, pool: Pool) -> bool:
-    """Whether running it twice does no harm.
+def is_retry_safe(request: ApplicationRequest, kind: RequestClass, pool: Pool) -> bool:
+    """Whether a request may be retried even if an earlier attempt has run.
 
-    An interactive POST is repeated only when the operator has said by `oncePaths` which paths
-    of this pool must not be.
+    Interactive requests with a non-idempotent method are safe to retry only in pools with
+    `oncePaths`, which list the paths that are not.
     """
     if kind is RequestClass.ONCE:
         return False
@@ -58,20 +61,25 @@
 
 
 def _under(path: str, prefixes: tuple[str, ...]) -> bool:
-    """Whether a path lies under one of the prefixes, by whole segments.
+    """Whether a path equals a prefix or lies below it, compared by whole segments.
 
-    Compared in decoded and normalized form, so that no spelling of a path escapes the rule.
+    The path is percent-decoded and normalized first, so that an alternative spelling cannot
+    bypass the rule.
     """
-    plain = normpath("/" + unquote(path.partition("?")[0]).lstrip("/"))
+    normalized = normpath("/" + unquote(path.partition("?")[0]).lstrip("/"))
     for prefix in prefixes:
-        bare = "/" + prefix.strip("/")
-        if bare == "/" or plain == bare or plain.startswith(bare + "/"):
+        normalized_prefix = "/" + prefix.strip("/")
+        if (
+            normalized_prefix == "/"
+            or normalized == normalized_prefix
+            or normalized.startswith(normalized_prefix + "/")
+        ):
             return True
     return False
 
 
 class Forwarder:
-    """Makes the attempts of application requests."""
+    """Sends application requests to the workers of a pool."""
 
     def __init__(
         self,
@@ -94,15 +102,15 @@
         runtime: PoolRuntime,
         deadline_s: float,
         *,
-        repeatable: bool,
+        retry_safe: bool,
         on_latency: Callable[[float], None],
         before_send: Callable[[], Refusal | None] = lambda: None,
         used: set[str] | None = None,
     ) -> Result[ApplicationAnswer, Refusal]:
-        """Try until an answer comes or no further attempt is allowed.
+        """Send a request, with retries, until an answer arrives or no retry is allowed.
 
-        `before_send` is asked before each attempt and may refuse it. What it says of the run
-        must hold for attempts that were proved not run, as those before it were. Back ends in
+        `before_send` is called before each attempt and may refuse it; the run state of its
+        refusal must also hold for the earlier attempts, which are proved not run. Back ends in
         `used` are avoided, and those tried are added to it.
         """
         attempts = RequestAttempts(runtime.budget, self._clock, deadline_s)
@@ -117,16 +125,16 @@
                 return Failure(refusal)
             if used is not None:
                 used.add(backend.name)
-            began_s = self._clock.monotonic_s()
+            started_s = self._clock.monotonic_s()
             match self._attempt(request, body, backend, deadline_s):
                 case Success(answer):
                     now_s = self._clock.monotonic_s()
-                    on_latency(now_s - began_s)
+                    on_latency(now_s - started_s)
                     runtime.budget.record_success(now_s)
                     return Success(answer)
                 case Failure(error):
-                    attempts.note_failure(backend, error)
-            if not body.replayable or not attempts.may_retry(repeatable=repeatable):
+                    attempts.record_failure(backend, error)
+            if not body.replayable or not attempts.may_retry(retry_safe=retry_safe):
                 return Failure(attempts.refusal())
 
     def _backends(self, runtime: PoolRuntime) -> tuple[Backend, ...]:
@@ -155,50 +163,50 @@
             timeout_s=max(0.001, deadline_s - self._clock.monotonic_s()),
         )
         interactive = request.request_class is not RequestClass.DRAFT
-        hold = AttemptHold(backend, self._clock, deadline_s, interactive=interactive)
+        slot = AttemptSlot(backend, self._clock, deadline_s, interactive=interactive)
         self._counters.count_attempt()
         try:
             sent = self._clients.application(backend.address).send(call)
         except BaseException:
-            hold.abandon()
+            slot.abandon()
             raise
         match sent:
             case Success(answer):
-                return self._take_answer(answer, hold)
+                return self._take_answer(answer, slot)
             case Failure(error):
-                hold.fail(error)
+                slot.fail(error)
         return sent
 
     def _take_answer(
-        self, answer: ApplicationAnswer, hold: AttemptHold
+        self, answer: ApplicationAnswer, slot: AttemptSlot
     ) -> Result[ApplicationAnswer, PlatformError]:
         if answer.leaving:
-            hold.note_leaving("answer")
+            slot.mark_leaving("answer")
         length = declared_length(answer)
-        if length is None or length > BUFFERED_ANSWER_BYTES:
-            hold.note_healthy()
-            return Success(with_body(answer, HeldBody(answer.body, _ender(hold))))
-        match read_whole(answer, BUFFERED_ANSWER_BYTES):
+        if length is None or length > MAX_BUFFERED_ANSWER_BYTES:
+            slot.note_healthy()
+            return Success(with_body(answer, TrackedBody(answer.body, _on_body_end(slot))))
+        match read_whole(answer, MAX_BUFFERED_ANSWER_BYTES):
             case Success(None):
                 error = PlatformError(ErrorKind.UNKNOWN, "the answer is longer than it declared")
-                hold.fail(error)
+                slot.fail(error)
                 return Failure(error)
             case Success(whole):
-                hold.succeed()
+                slot.succeed()
                 return Success(with_body(answer, iter((whole,) if whole else ())))
             case Failure(error):
-                hold.fail(error)
+                slot.fail(error)
                 return Failure(error)
         raise AssertionError("a result is a success or a failure")
 
 
-def _ender(hold: AttemptHold) -> Callable[[BaseException | None], None]:
+def _on_body_end(slot: AttemptSlot) -> Callable[[BaseException | None], None]:
     def end(failure: BaseException | None) -> None:
         if failure is None:
-            hold.succeed()
+            slot.succeed()
         elif isinstance(failure, IncompleteBodyError):
-            hold.fail(PlatformError(ErrorKind.UNKNOWN, str(failure)))
+            slot.fail(PlatformError(ErrorKind.UNKNOWN, str(failure)))
         else:
-            hold.abandon()
+            slot.abandon()
 
     return end
--- a/src/bellweir/routing/generation_attempt.py
+++ b/src/bellweir/routing/generation_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a generation: which engine, the call, and its stream."""
+"""Starts and cancels generation attempts on engines."""
 
 from dataclasses import dataclass
 
@@ -15,7 +15,7 @@
 from bellweir.kernel.executors import Executors
 from bellweir.resources.models import Pool, RequestClass
 from bellweir.routing.arm_counters import ArmName
-from bellweir.routing.attempts import AttemptHold, RequestAttempts, new_attempt_id
+from bellweir.routing.attempts import AttemptSlot, RequestAttempts, new_attempt_id
 from bellweir.routing.backend import Backend
 from bellweir.routing.cancellations import Cancellations
 from bellweir.routing.candidates import candidates
@@ -34,14 +34,14 @@
 
 @dataclass(frozen=True)
 class GenerationRoute:
-    """What a request's policy, after its comparison, asks of an engine."""
+    """Engine requirements of a request, resolved from its policy and comparison."""
 
     policy: str
     model: str
     minimum_version: int | None
     exact_version: int | None
     arm: ArmName | None = None
-    """The comparison's arm that was chosen."""
+    """Arm of the comparison that the request was assigned to."""
 
 
 @dataclass(frozen=True)
@@ -51,11 +51,11 @@
     attempt_id: str
     engine: Engine
     stream: EngineStream
-    hold: AttemptHold
+    slot: AttemptSlot
 
 
 class GenerationStarter:
-    """Chooses engines and starts attempts on them."""
+    """Selects engines and starts attempts on them."""
 
     def __init__(
         self,
@@ -76,14 +76,14 @@
         self._draft_share = draft_share
 
     def pools_of(self, policy: str) -> list[Pool]:
-        """The pools whose engines serve a policy, by name."""
+        """Return the pools that serve a policy, sorted by name."""
         found = self._views.pools()
         return [
             found[name].pool for name in sorted(found) if policy in found[name].pool.spec.policies
         ]
 
     def _backends_of(self, policy: str) -> list[Backend]:
-        """The back ends of all pools that serve a policy."""
+        """Return the back ends of all pools that serve a policy."""
         found = self._views.pools()
         return [
             backend
@@ -95,78 +95,78 @@
         self,
         request: GenerationRequest,
         route: GenerationRoute,
-        had: tuple[int, ...],
+        generated_tokens: tuple[int, ...],
         deadline_s: float,
         attempts: RequestAttempts,
     ) -> Result[RunningAttempt, Refusal]:
-        """Start an attempt after the tokens had, trying again as far as that is allowed."""
-        began_s = self._clock.monotonic_s()
+        """Start an attempt that continues after the generated tokens, with retries."""
+        started_s = self._clock.monotonic_s()
         while True:
-            started = self._start_once(request, route, had, deadline_s, attempts)
+            started = self._start_attempt(request, route, generated_tokens, deadline_s, attempts)
             match started:
                 case Success(attempt):
                     return Success(attempt)
                 case Failure(None):
-                    may_go_on = self._wait(route, attempts, began_s, deadline_s)
+                    may_continue = self._wait(route, attempts, started_s, deadline_s)
                 case _:
-                    may_go_on = attempts.may_retry(repeatable=True)
-            if not may_go_on:
+                    may_continue = attempts.may_retry(retry_safe=True)
+            if not may_continue:
                 return Failure(attempts.refusal())
 
     def _wait(
-        self, route: GenerationRoute, attempts: RequestAttempts, began_s: float, deadline_s: float
+        self, route: GenerationRoute, attempts: RequestAttempts, started_s: float, deadline_s: float
     ) -> bool:
-        """Wait a little for room or for a back end; False when this request has to be refused."""
-        if attempts.lacks_room:
+        """Wait for draft capacity or a back end; return False if the request must be refused."""
+        if attempts.lacks_draft_capacity:
             room = self._runtimes.of(self.pools_of(route.policy)[0]).draft_waiters
-            return room.wait_before_recheck(began_s, deadline_s)
+            return room.wait_before_recheck(started_s, deadline_s)
         return attempts.wait_for_backend(self._backends_of(route.policy))
 
-    def _start_once(
+    def _start_attempt(
         self,
         request: GenerationRequest,
         route: GenerationRoute,
-        had: tuple[int, ...],
+        generated_tokens: tuple[int, ...],
         deadline_s: float,
         attempts: RequestAttempts,
     ) -> Result[RunningAttempt, PlatformError | None]:
-        """Start one attempt; the failure is None when no engine fits."""
+        """Start one attempt; the failure is None if no engine is usable."""
         backend = self._choose(request, route, attempts)
         if backend is None:
             return Failure(None)
         engine = self._clients.engine(backend.address)
-        call = self._call(request, route, had, deadline_s)
+        call = self._call(request, route, generated_tokens, deadline_s)
         interactive = request.request_class is not RequestClass.DRAFT
-        hold = AttemptHold(backend, self._clock, deadline_s, interactive=interactive)
+        slot = AttemptSlot(backend, self._clock, deadline_s, interactive=interactive)
         self._counters.count_attempt()
         try:
             started = engine.generate(call)
         except BaseException:
-            hold.abandon()
+            slot.abandon()
             raise
         match started:
             case Success(stream):
-                return Success(RunningAttempt(call.attempt_id, engine, stream, hold))
+                return Success(RunningAttempt(call.attempt_id, engine, stream, slot))
             case Failure(error):
-                hold.fail(error)
-                attempts.note_failure(backend, error)
+                slot.fail(error)
+                attempts.record_failure(backend, error)
                 return Failure(error)
         raise AssertionError("a result is a success or a failure")
 
     def cancel(self, attempt: RunningAttempt) -> None:
-        """Drop an attempt: its connection at once, its work on the engine by a call aside."""
-        attempt.hold.abandon()
-        self.drop(attempt)
+        """Release an attempt's slot, close its connection and cancel it on the engine."""
+        attempt.slot.abandon()
+        self.abort(attempt)
 
-    def drop(self, attempt: RunningAttempt) -> None:
-        """Close an attempt's connection and tell its engine, without a word on its health."""
+    def abort(self, attempt: RunningAttempt) -> None:
+        """Close an attempt's connection and cancel it on the engine; its slot stays occupied."""
         attempt.stream.close()
-        worker = attempt.hold.backend.key
+        worker = attempt.slot.backend.key
         self._cancellations.cancel(worker, attempt.engine, attempt.attempt_id)
 
     def has_alternative(self, attempt: RunningAttempt, route: GenerationRoute) -> bool:
-        """Whether another engine could go on with an attempt now."""
-        current = {attempt.hold.backend.name}
+        """Whether another engine could resume an attempt now."""
+        current = {attempt.slot.backend.name}
         return bool(
             candidates(
                 self._backends_of(route.policy),
@@ -200,23 +200,23 @@
         self, usable: list[Backend], now_s: float, attempts: RequestAttempts
     ) -> list[Backend]:
         share = self._draft_share
-        roomy = [backend for backend in usable if backend.has_draft_capacity(share, now_s)]
-        if not roomy:
-            attempts.note_no_room()
-        return roomy
+        with_capacity = [backend for backend in usable if backend.has_draft_capacity(share, now_s)]
+        if not with_capacity:
+            attempts.record_no_draft_capacity()
+        return with_capacity
 
     def _call(
         self,
         request: GenerationRequest,
         route: GenerationRoute,
-        had: tuple[int, ...],
+        generated_tokens: tuple[int, ...],
         deadline_s: float,
     ) -> GenerationCall:
         return GenerationCall(
             attempt_id=new_attempt_id(request.request_id),
             request_id=request.request_id,
             prompt=request.prompt,
-            prefix_tokens=request.prefix_tokens + had,
+            prefix_tokens=request.prefix_tokens + generated_tokens,
             max_tokens=request.max_tokens,
             priority=ENGINE_PRIORITY[request.request_class],
             model=route.model,
@@ -229,7 +229,7 @@
 
 
 def serves(backend: Backend, route: GenerationRoute) -> bool:
-    """Whether an engine holds the model in an admissible version."""
+    """Whether an engine has loaded the model in an acceptable version."""
     report = backend.report
     if report is None or report.weight_version is None:
         return False
--- a/src/bellweir/routing/once.py
+++ b/src/bellweir/routing/once.py
@@ -1,4 +1,4 @@
-"""Requests that must not be repeated: claimed by their key before the single attempt."""
+"""At-most-once requests: the idempotency key is claimed in the ledger before the attempt."""
 
 import hashlib
 import secrets
@@ -25,17 +25,17 @@
 from bellweir.routing.outcome_recorder import ClaimHolder, OutcomeRecorder
 from bellweir.routing.request_body import BodyTooLongError, BodyTruncatedError, RequestBody
 
-BODY_LIMIT_BYTES = 1024 * 1024
-"""Longest body of a request that must not be repeated: it is fingerprinted before it is sent."""
-RECORD_LIMIT_BYTES = 256 * 1024
-"""Longest answer kept for repeats; a longer one is passed on, but repeats get no copy."""
+MAX_BODY_BYTES = 1024 * 1024
+"""Bodies are read into memory, as their fingerprint is needed before they are sent."""
+MAX_RECORDED_ANSWER_BYTES = 256 * 1024
+"""Longest answer that is recorded for repeated requests."""
 CLAIM_TIMEOUT_S = 3.0
-CLAIM_USE_S = 60.0
-CLAIM_USE_WINDOW_SHARE = 0.5
-"""A claim older than `CLAIM_USE_S` or than this share of its window is not used any more: a
-holder that was paused for so long may wake up when the key has been given to somebody else."""
+MAX_CLAIM_AGE_S = 60.0
+MAX_CLAIM_AGE_WINDOW_FRACTION = 0.5
+"""A claim older than `MAX_CLAIM_AGE_S` or than this fraction of its window is not used: if the
+holder was paused for longer, the key may have expired and been claimed by another request."""
 KEY_HEADER = "Idempotency-Key"
-KEY_LIMIT_CHARACTERS = 255
+MAX_KEY_CHARACTERS = 255
 LOOK_UP_TIMEOUT_S = 0.5
 REPLAYED_HEADER = ("Idempotency-Replayed", "true")
 
@@ -43,11 +43,11 @@
 SendOnce = Callable[
     [ApplicationRequest, RequestBody, BeforeSend], Result[ApplicationAnswer, Refusal]
 ]
-"""Makes the attempt; asks the given check right before each send."""
+"""Sends the request; calls the given check immediately before each attempt."""
 
 
 class OnceRequests:
-    """Serves requests of class once."""
+    """Serves at-most-once requests (`RequestClass.ONCE`)."""
 
     def __init__(
         self, find_claims: Callable[[], Claims | None], recorder: OutcomeRecorder, clock: Clock
@@ -59,22 +59,22 @@
     def serve(
         self, request: ApplicationRequest, pool: Pool, deadline_s: float, send: SendOnce
     ) -> Result[ApplicationAnswer, Refusal]:
-        """Claim, attempt once, record; a repeat gets what is recorded."""
+        """Claim the key, send the request and record its outcome; replay it for a repeated key."""
         key = request.idempotency_key
         generated = key is None
         if key is None:
             if not pool.spec.generate_keys:
                 detail = "a request that must not be repeated needs an Idempotency-Key"
                 return Failure(Refusal(RefusalReason.KEY_MISSING, RunState.NOT_RUN, detail))
-            key = fresh_key(self._clock.wall_s())
+            key = generate_key(self._clock.wall_s())
             headers = (*request.headers, (KEY_HEADER, key))
             request = replace(request, headers=headers, idempotency_key=key)
-        if not is_usable_key(key):
-            detail = f"an Idempotency-Key has 1 to {KEY_LIMIT_CHARACTERS} printable characters"
+        if not is_valid_key(key):
+            detail = f"an Idempotency-Key has 1 to {MAX_KEY_CHARACTERS} printable characters"
             return Failure(Refusal(RefusalReason.INVALID, RunState.NOT_RUN, detail))
         body = RequestBody(request.body, request.body_length)
         try:
-            fingerprint = fingerprint_of(request, body.read_whole(BODY_LIMIT_BYTES))
+            fingerprint = fingerprint_of(request, body.read_whole(MAX_BODY_BYTES))
         except (BodyTooLongError, BodyTruncatedError) as failure:
             return Failure(Refusal(RefusalReason.INVALID, RunState.NOT_RUN, f"body: {failure}"))
         claims = self._find_claims()
@@ -83,16 +83,18 @@
             return Failure(_ledger_refusal(RunState.NOT_RUN, detail))
         window_s = pool.spec.claim_window_s
         holder = ClaimHolder(ledger_key_of(request), secrets.token_hex(16), claims)
-        asked_s = self._clock.monotonic_s()
+        requested_s = self._clock.monotonic_s()
         match self._claim(holder, fingerprint, window_s, deadline_s):
             case Success(claim) if claim.state is ClaimState.CLAIMED:
-                use_until_s = asked_s + min(CLAIM_USE_S, window_s * CLAIM_USE_WINDOW_SHARE)
-                return self._run(holder, lambda check: send(request, body, check), use_until_s)
+                usable_until_s = requested_s + min(
+                    MAX_CLAIM_AGE_S, window_s * MAX_CLAIM_AGE_WINDOW_FRACTION
+                )
+                return self._run(holder, lambda check: send(request, body, check), usable_until_s)
             case Success(claim):
                 return _answer_repeat(claim)
             case Failure(error):
-                # An earlier request with a key of the caller's may have run, which only the
-                # ledger could tell; with a fresh key there is none.
+                # An earlier request with the caller's key may have run, which only the ledger
+                # knows; a generated key has no earlier request.
                 state = RunState.NOT_RUN if generated else RunState.UNKNOWN
                 return Failure(_ledger_refusal(state, error.detail))
         raise AssertionError("a result is a success or a failure")
@@ -100,10 +102,10 @@
     def refuse(
         self, request: ApplicationRequest, refusal: Refusal, kind: RequestClass | None
     ) -> Refusal:
-        """What to say of a request that is refused before it is claimed.
+        """Adjust the run state of a refusal that was made before the key was claimed.
 
-        This request has not run, but an earlier one with its key may have: "not run" is said
-        only when the ledger knows of none.
+        The request itself has not run, but an earlier one with the same key may have, so
+        `NOT_RUN` is kept only if the ledger has no record of one.
         """
         if request.idempotency_key is None or refusal.run_state is not RunState.NOT_RUN:
             return refusal
@@ -113,7 +115,7 @@
         return replace(refusal, run_state=RunState.UNKNOWN, detail=detail)
 
     def _is_unknown_key(self, request: ApplicationRequest) -> bool:
-        """Whether the ledger says that no request with this key may have run."""
+        """Whether the ledger rules out that a request with this key has run."""
         claims = self._find_claims()
         if claims is None:
             return True
@@ -125,11 +127,11 @@
     def _claim(
         self, holder: ClaimHolder, fingerprint: str, window_s: float, deadline_s: float
     ) -> Result[Claim, LedgerError]:
-        """Claim; an unknown outcome permits no attempt, now or later.
+        """Claim the key; if the outcome is unknown, no attempt may be made.
 
-        `Claims` sends a claim again by itself while its time lasts and gives it back when it
-        gets no answer. Asking once more with the same attempt id could get `CLAIMED` before
-        that release takes effect, and the key would be free while the attempt runs.
+        `Claims` retries until its timeout and then releases the claim. Claiming again with the
+        same attempt id could return `CLAIMED` before that release takes effect, which would
+        free the key while the attempt runs.
         """
         left_s = deadline_s - self._clock.monotonic_s()
         timeout_s = max(0.001, min(CLAIM_TIMEOUT_S, left_s))
@@ -145,16 +147,16 @@
         self,
         holder: ClaimHolder,
         send: Callable[[BeforeSend], Result[ApplicationAnswer, Refusal]],
-        use_until_s: float,
+        usable_until_s: float,
     ) -> Result[ApplicationAnswer, Refusal]:
-        def too_late() -> Refusal | None:
-            if self._clock.monotonic_s() < use_until_s:
+        def check_claim_age() -> Refusal | None:
+            if self._clock.monotonic_s() < usable_until_s:
                 return None
             detail = "the node was paused for too long after the claim"
             return Refusal(RefusalReason.DEADLINE, RunState.NOT_RUN, detail, RETRY_AFTER_S)
 
         try:
-            outcome = send(too_late)
+            outcome = send(check_claim_age)
         except BaseException:
             self._recorder.record_later(holder, ClaimState.UNKNOWN)
             raise
@@ -170,16 +172,16 @@
     def _complete(
         self, holder: ClaimHolder, answer: ApplicationAnswer
     ) -> Result[ApplicationAnswer, Refusal]:
-        """Record the answer before it is passed on, so that a repeat finds it."""
-        match read_whole(answer, RECORD_LIMIT_BYTES):
+        """Record the answer before returning it, so that a repeated request finds it."""
+        match read_whole(answer, MAX_RECORDED_ANSWER_BYTES):
             case Success(None):
                 self._recorder.record(holder, ClaimState.COMPLETED, None)
                 detail = "it ran, but its answer is too long to be kept"
                 return Failure(Refusal(RefusalReason.BACKEND_FAILED, RunState.RAN, detail))
             case Success(whole):
-                kept = RecordedAnswer(answer.status, answer.headers, whole or b"")
-                self._recorder.record(holder, ClaimState.COMPLETED, kept)
-                return Success(with_body(answer, iter((kept.body,) if kept.body else ())))
+                recorded = RecordedAnswer(answer.status, answer.headers, whole or b"")
+                self._recorder.record(holder, ClaimState.COMPLETED, recorded)
+                return Success(with_body(answer, iter((recorded.body,) if recorded.body else ())))
             case Failure(error):
                 self._recorder.record(holder, ClaimState.UNKNOWN, None)
                 refusal = Refusal(RefusalReason.BACKEND_FAILED, RunState.UNKNOWN, error.detail)
@@ -188,21 +190,21 @@
 
 
 def ledger_key_of(request: ApplicationRequest) -> str:
-    """Key of a request's claim: keys of different pools do not meet, those of callers do.
+    """Return the key of a request's claim, which is scoped to the pool but not to the caller.
 
-    A caller may come back through another node, address or token; the fingerprint tells two
-    callers with one key apart.
+    A caller may retry from another address or with another token; two callers that use the
+    same key are told apart by the fingerprint.
     """
     return f"{request.pool}/{request.idempotency_key}"
 
 
-def is_usable_key(key: str) -> bool:
-    """Whether a caller's key is of a length and kind that is kept."""
-    return 0 < len(key) <= KEY_LIMIT_CHARACTERS and key.isprintable()
+def is_valid_key(key: str) -> bool:
+    """Whether a key is printable and of an allowed length."""
+    return 0 < len(key) <= MAX_KEY_CHARACTERS and key.isprintable()
 
 
-def fresh_key(now_s: float) -> str:
-    """A key for a request without one: a UUID of version 7 (RFC 9562), which tells its age."""
+def generate_key(now_s: float) -> str:
+    """Return a new UUID of version 7 (RFC 9562), which contains its creation time."""
     milliseconds = int(now_s * 1000) & ((1 << 48) - 1)
     high = (milliseconds << 16) | (7 << 12) | secrets.randbits(12)
     low = (0b10 << 62) | secrets.randbits(62)
@@ -210,7 +212,7 @@
 
 
 def fingerprint_of(request: ApplicationRequest, body: bytes) -> str:
-    """Digest of what makes a request the same: method, path with query, and body."""
+    """Return the SHA-256 digest of a request's method, path with query, and body."""
     digest = hashlib.sha256()
     for part in (request.method.upper().encode(), request.path.encode(), body):
         digest.update(len(part).to_bytes(8, "big"))
@@ -220,9 +222,9 @@
 
 def _answer_repeat(claim: Claim) -> Result[ApplicationAnswer, Refusal]:
     if claim.state is ClaimState.COMPLETED and claim.answer is not None:
-        kept = claim.answer
-        headers = (*kept.headers, REPLAYED_HEADER)
-        return Success(ApplicationAnswer(kept.status, headers, iter((kept.body,))))
+        recorded = claim.answer
+        headers = (*recorded.headers, REPLAYED_HEADER)
+        return Success(ApplicationAnswer(recorded.status, headers, iter((recorded.body,))))
     return Failure(REPEAT_REFUSALS[claim.state])
 
 
