--- a/src/bellweir/hosted/views/workers.py
+++ b/src/bellweir/hosted/views/workers.py
@@ -185,8 +185,8 @@
         for instance in found.keys() | before.keys():
             _log_change(before.get(instance), found.get(instance))
         for address in others:
-            for told in self._address_listeners:
-                told(address)
+            for listener in self._address_listeners:
+                listener(address)
 
     def _without_superseded(self, entries: Entries) -> Entries:
         """Replace entries written by superseded incarnations by the known ones."""
