--- a/features/steps/hosted_entries_steps.py
+++ b/features/steps/hosted_entries_steps.py
@@ -17,10 +17,10 @@
 from structlog.testing import capture_logs
 
 from bellweir.clients.pool import HttpAnswer
-from bellweir.hosted.checked_store import CheckedStore
-from bellweir.hosted.entries import UnreadableEntries, unusable_cause
+from bellweir.hosted.entries import EntryValidator, invalid_reason
 from bellweir.hosted.interface import Listing, RecordChange, StoredRecord, StoreErrorKind
 from bellweir.hosted.serving.metrics import RequestMetrics
+from bellweir.hosted.validating_store import ValidatingStore
 from bellweir.hosted.views.configuration import ConfigurationView
 from bellweir.hosted.views.follower import KindFollower
 from bellweir.hosted.views.kind_state import KindState, KindUpdate
@@ -182,7 +182,7 @@
         view.apply_listing(
             Listing(1, tuple(StoredRecord("servers", n, 1, entry(n)) for n in SOUND))
         )
-        store = CheckedStore(answering(list_body(texts)), UnreadableEntries())
+        store = ValidatingStore(answering(list_body(texts)), EntryValidator())
         found = store.list_kind("servers")
         held["read" if isinstance(found, Success) else "failed"] += 1
         if isinstance(found, Success):
@@ -213,7 +213,7 @@
     def holds(text, place, as_event):
         texts = [event_text(each) for each in sound_texts()]
         texts.insert(place, event_text(text) if as_event else text)
-        store = CheckedStore(answering(events_body(texts)), UnreadableEntries())
+        store = ValidatingStore(answering(events_body(texts)), EntryValidator())
         found = store.watch("servers", 1, 1.0)
         if not isinstance(found, Success):
             assert is_torn(text), text
@@ -228,7 +228,7 @@
         check_chosen(view)
         told = {change.record.name for change in changes.changes}
         # Either it is told what became of the entry, or a list is wanted.
-        assert BAD in told or not changes.is_whole or len(told) > len(SOUND), text
+        assert BAD in told or not changes.is_complete or len(told) > len(SOUND), text
 
     holds()
     deletion = event_text(text_of(stored(BAD, 4, {"slots": 0})), b"true")
@@ -272,7 +272,7 @@
         check_chosen(view)
         # What it tells on has none that nobody can use.
         for record in state.update_since(None, 1.0).records:
-            assert unusable_cause(record) is None, record
+            assert invalid_reason(record) is None, record
 
     holds()
 
@@ -310,13 +310,13 @@
 @then("entries with a field missing, of another type or out of range are not used, of any kind")
 def then_kinds(context):
     for kind, sound in SOUND_SPECS.items():
-        assert unusable_cause(StoredRecord(kind, "x", 1, sound)) is None, kind
+        assert invalid_reason(StoredRecord(kind, "x", 1, sound)) is None, kind
         for spec in (None, 7, "x", [sound], nested(400)):
-            assert unusable_cause(StoredRecord(kind, "x", 1, spec)), (kind, spec)
+            assert invalid_reason(StoredRecord(kind, "x", 1, spec)), (kind, spec)
         for field, values in WRONG_FIELDS.get(kind, {}).items():
             for value in values:
                 record = StoredRecord(kind, "x", 1, sound | {field: value})
-                assert unusable_cause(record), (kind, field, value)
+                assert invalid_reason(record), (kind, field, value)
     versions = VersionsView()
     versions.apply_listing(
         Listing(1, (StoredRecord("versions", "m", 1, {"model": "m", "version": 3}),))
@@ -364,10 +364,10 @@
         text_of(stored("f", 5, secret)).replace(b'"spec": "', b'"spec": "\xff'),
         b'{"metadata":{},"spec":"%s"}' % secret.encode(),
     ]
-    entries = UnreadableEntries()
+    entries = EntryValidator()
     metrics = RequestMetrics()
     metrics.add_unreadable_entries(entries)
-    store = CheckedStore(answering(list_body([*sound_texts(), *bad])), entries)
+    store = ValidatingStore(answering(list_body([*sound_texts(), *bad])), entries)
     with capture_logs() as logs:
         for _ in range(3):
             store.list_kind("servers").unwrap()
@@ -379,7 +379,7 @@
     assert {line["revision"] for line in lines} == {4, 5, None}
     assert secret not in repr(logs), logs
     assert b'bellweir_entries_unreadable_total{kind="servers"} 3.0' in metrics.render()
-    store = CheckedStore(answering(list_body([bad[0].replace(b": 4}", b": 6}")])), entries)
+    store = ValidatingStore(answering(list_body([bad[0].replace(b": 4}", b": 6}")])), entries)
     with capture_logs() as logs:
         store.list_kind("servers").unwrap()
     assert [line["revision"] for line in logs] == [6], logs
--- a/features/steps/hosted_plan_steps.py
+++ b/features/steps/hosted_plan_steps.py
@@ -10,7 +10,7 @@
 from features.support.hosted_jobs import make_job
 from hypothesis import given, settings
 
-from bellweir.hosted.interface import Listing, OrderAnswer, StoredRecord
+from bellweir.hosted.interface import Listing, OrderOutcome, StoredRecord
 from bellweir.hosted.records import WorkerEntry
 from bellweir.hosted.views.configuration import ConfigurationView
 from bellweir.hosted.views.workers import Worker, WorkersView
@@ -281,7 +281,7 @@
     """Workers that report as ever and take no order."""
 
     def order(self, address, instance, order, timeout_s):
-        return OrderAnswer.CONFLICT
+        return OrderOutcome.CONFLICT
 
 
 @given_step("no worker takes an order")
--- a/features/steps/hosted_relay_steps.py
+++ b/features/steps/hosted_relay_steps.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 
 from bellweir.hosted.interface import Changes, Listing, RecordChange, StoredRecord
-from bellweir.hosted.peer_records import has_record
+from bellweir.hosted.peer_records import should_register
 from bellweir.hosted.views.follower import KindFollower
 from bellweir.hosted.views.kind_state import KindState
 from bellweir.hosted.views.readers import deployment_readers, sources_of, zone_readers
@@ -200,10 +200,10 @@
 def then_records(context, count, zones):
     members = [member(f"{zone}-{number}", zone) for zone in "abc"[:zones] for number in range(6)]
     for zone in "abc"[:zones]:
-        named = [one for one in members if one.zone == zone and has_record(members, one)]
+        named = [one for one in members if one.zone == zone and should_register(members, one)]
         assert len(named) == count
         rest = [one for one in members if one is not named[0]]
-        after = [one for one in rest if one.zone == zone and has_record(rest, one)]
+        after = [one for one in rest if one.zone == zone and should_register(rest, one)]
         assert len(after) == count
         assert set(named[1:]) <= set(after)
 
--- a/features/steps/hosted_scaling_steps.py
+++ b/features/steps/hosted_scaling_steps.py
@@ -8,7 +8,7 @@
 from behave import then, when
 from hypothesis import given, settings
 
-from bellweir.hosted.interface import DutyAnswer, Listing, StoredRecord, WorkersOrder
+from bellweir.hosted.interface import DutyOutcome, Listing, StoredRecord, WorkerCountOrder
 from bellweir.hosted.scaling.controller import ScalingController
 from bellweir.hosted.scaling.service import POLICIES
 from bellweir.hosted.views.configuration import ConfigurationView
@@ -67,10 +67,10 @@
 
     def order_workers(self, order, timeout_s):
         self.orders.append((self.now_s, order))
-        answer = self.answers.pop(0) if self.answers else DutyAnswer.DONE
+        answer = self.answers.pop(0) if self.answers else DutyOutcome.DONE
         if order.zone in self.exhausted:
-            return DutyAnswer.REFUSED
-        if answer in (DutyAnswer.DONE, DutyAnswer.UNKNOWN):
+            return DutyOutcome.REFUSED
+        if answer in (DutyOutcome.DONE, DutyOutcome.UNKNOWN):
             self.wanted[order.zone] = order.count
             self.due.append((self.now_s + BOOT_S, order.zone, order.count))
         return answer
@@ -176,7 +176,7 @@
     step = st.one_of(
         st.tuples(st.just("pass"), st.sampled_from((0.5, 3.0, 12.0))),
         st.tuples(st.just("lose"), st.sampled_from("ab")),
-        st.tuples(st.just("answer"), st.sampled_from(list(DutyAnswer))),
+        st.tuples(st.just("answer"), st.sampled_from(list(DutyOutcome))),
         st.tuples(st.just("hand over"), st.integers(0, 1)),
         st.tuples(st.just("age"), st.sampled_from((0.0, 9.0))),
     )
@@ -201,7 +201,7 @@
         fleet.age_s, fleet.answers = 0.0, []
         fleet.pass_time(60.0)
         assert all(MINIMUM <= order.count <= MAXIMUM for _, order in fleet.orders)
-        fences = [order.fence for _, order in fleet.orders]
+        fences = [order.fencing_token for _, order in fleet.orders]
         assert fences == sorted(fences)
         assert sum(fleet.live.values()) >= 6, fleet.live
         quiet = len(fleet.orders)
@@ -222,9 +222,9 @@
 
     server = StandInServer(Handler, "127.0.0.1")
     context.cleanup.callback(server.close)
-    duties, order = PlatformDuties(server.address), WorkersOrder("llm", "a", 6, "store-1", 9)
-    assert duties.order_workers(order, 1.0) is DutyAnswer.DONE
-    assert duties.order_workers(order, 1.0) is DutyAnswer.REFUSED
+    duties, order = PlatformDuties(server.address), WorkerCountOrder("llm", "a", 6, "store-1", 9)
+    assert duties.order_workers(order, 1.0) is DutyOutcome.DONE
+    assert duties.order_workers(order, 1.0) is DutyOutcome.REFUSED
     path, headers, body = seen[0]
     assert (path, body) == ("/scaling", {"service": "llm", "zone": "a", "wantedGroups": 6})
     assert headers["X-Bellweir-Duty-Holder"] == "store-1"
--- a/features/steps/hosted_store_calls_steps.py
+++ b/features/steps/hosted_store_calls_steps.py
@@ -4,7 +4,7 @@
 from returns.result import Success
 
 from bellweir.hosted.serving.metrics import RequestMetrics
-from bellweir.hosted.store_calls import CountedStore
+from bellweir.hosted.store_calls import CountingStore
 from bellweir_platform.object_store import PlatformStore
 from bellweir_rehearsal.hosted.object_store import Outage, PlatformStoreStandIn
 
@@ -13,7 +13,7 @@
 def given_counted(context):
     context.stand_in = PlatformStoreStandIn()
     context.cleanup.callback(context.stand_in.close)
-    context.store = CountedStore(PlatformStore(context.stand_in.address))
+    context.store = CountingStore(PlatformStore(context.stand_in.address))
     context.metrics = RequestMetrics()
     context.metrics.add_store_calls(context.store.counts)
 
@@ -61,9 +61,9 @@
 
 @then("a line tells them once")
 def then_told(context):
-    told = context.store.counts.take_news()
+    told = context.store.counts.take_increments()
     assert told == {"/".join(key): count for key, count in EXPECTED.items()}
-    assert context.store.counts.take_news() == {}
+    assert context.store.counts.take_increments() == {}
 
 
 @when("the stand-in refuses {count:d} lists")
--- a/features/steps/hosted_usage_steps.py
+++ b/features/steps/hosted_usage_steps.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from returns.result import Failure, Success
 
-from bellweir.hosted.interface import DutyAnswer, UsageReport
+from bellweir.hosted.interface import DutyOutcome, UsageReport
 from bellweir.hosted.settings import UsageSettings
 from bellweir.hosted.usage import reporter as reporter_module
 from bellweir.hosted.usage.counter import UsageCounter
@@ -72,8 +72,8 @@
 
     def report_usage(self, report, timeout_s):
         self.calls += 1
-        answer = self.answers.pop(0) if self.answers else DutyAnswer.DONE
-        if answer in (DutyAnswer.DONE, DutyAnswer.UNKNOWN):
+        answer = self.answers.pop(0) if self.answers else DutyOutcome.DONE
+        if answer in (DutyOutcome.DONE, DutyOutcome.UNKNOWN):
             self.taken.append(report)
         return answer
 
@@ -197,7 +197,7 @@
         st.tuples(st.just("count"), st.integers(0, 3)),
         st.tuples(st.just("pass"), st.sampled_from((0.3, 1.1, 5.0))),
         st.tuples(st.just("hand over"), st.integers(0, 1)),
-        st.tuples(st.just("answer"), st.sampled_from(list(DutyAnswer))),
+        st.tuples(st.just("answer"), st.sampled_from(list(DutyOutcome))),
         st.tuples(st.just("ledger"), st.sampled_from(("away", "lost", "there"))),
     )
 
@@ -231,7 +231,7 @@
         first = {}
         for report in platform.taken:
             assert first.setdefault(report.window, report.counts) == report.counts
-        fences = [report.fence for report in platform.taken]
+        fences = [report.fencing_token for report in platform.taken]
         assert fences == sorted(fences)
 
     same()
@@ -279,7 +279,7 @@
 @when("the platform takes no reports for a while")
 def when_no_reports(context):
     context.before = len(context.platform.taken)
-    context.platform.answers = [DutyAnswer.NOT_DONE] * 15
+    context.platform.answers = [DutyOutcome.NOT_DONE] * 15
     let_pass(context, 15.0)
 
 
@@ -293,7 +293,7 @@
 
 @when("the platform takes no reports until windows are overdue")
 def when_long(context):
-    context.platform.answers = [DutyAnswer.NOT_DONE] * 75
+    context.platform.answers = [DutyOutcome.NOT_DONE] * 75
     let_pass(context, 30.0)
 
 
@@ -347,16 +347,16 @@
 @then("a report has its window, counts, holder and fencing token, and all statuses are understood")
 def then_wire(context):
     report = UsageReport(7, {"dealers": 3}, "store-1", 12)
-    assert context.duties.report_usage(report, 1.0) is DutyAnswer.DONE
+    assert context.duties.report_usage(report, 1.0) is DutyOutcome.DONE
     path, headers, body = context.seen[0]
     assert (path, body) == ("/usage", {"windowId": 7, "counts": {"dealers": 3}})
     assert headers["X-Bellweir-Duty-Holder"] == "store-1"
     assert headers["X-Bellweir-Fencing-Token"] == "12"
-    wanted = {429: DutyAnswer.NOT_DONE, 503: DutyAnswer.NOT_DONE, 412: DutyAnswer.FENCED}
-    wanted |= {400: DutyAnswer.INVALID, 500: DutyAnswer.UNKNOWN}
+    wanted = {429: DutyOutcome.NOT_DONE, 503: DutyOutcome.NOT_DONE, 412: DutyOutcome.FENCED}
+    wanted |= {400: DutyOutcome.INVALID, 500: DutyOutcome.UNKNOWN}
     for context.status, answer in wanted.items():
         assert context.duties.report_usage(report, 1.0) is answer
-    assert PlatformDuties("127.0.0.1:1").report_usage(report, 0.3) is DutyAnswer.NOT_DONE
+    assert PlatformDuties("127.0.0.1:1").report_usage(report, 0.3) is DutyOutcome.NOT_DONE
 
 
 @then("usage of the next 30 windows is settled as it was counted")
--- a/features/support/starts_world.py
+++ b/features/support/starts_world.py
@@ -7,7 +7,7 @@
     Changes,
     Listing,
     ModelState,
-    OrderAnswer,
+    OrderOutcome,
     RecordChange,
     StoredRecord,
     WorkerControl,
@@ -119,11 +119,11 @@
         what = self.loses.pop(0) if self.loses else "taken"
         if what == "late":
             self.late.append((instance, order))
-            return OrderAnswer.UNKNOWN
+            return OrderOutcome.UNKNOWN
         answer = self._carry_out(instance, order)
-        return OrderAnswer.UNKNOWN if what == "unanswered" else answer
+        return OrderOutcome.UNKNOWN if what == "unanswered" else answer
 
-    def renew(self, address):
+    def reset_connections(self, address):
         pass
 
     def deliver(self, which):
@@ -134,10 +134,10 @@
     def _carry_out(self, instance, order):
         worker = self.workers[instance]
         if order.expected_sequence not in (None, worker.sequence):
-            return OrderAnswer.CONFLICT
+            return OrderOutcome.CONFLICT
         if worker.version == order.version:
-            return OrderAnswer.IN_FORCE
+            return OrderOutcome.IN_FORCE
         worker.sequence += 1
         worker.version = order.version
         self._note(worker)
-        return OrderAnswer.ACCEPTED
+        return OrderOutcome.ACCEPTED
--- a/src/bellweir/hosted/batches/api.py
+++ b/src/bellweir/hosted/batches/api.py
@@ -283,7 +283,7 @@
 
 def assign_tenant(job: Job, tenant: str, names: HeaderNames) -> Job:
     """Return a job owned by `tenant`, without credentials and tenant names in item headers."""
-    dropped = names.of_client_only
+    dropped = names.client_only
     items = tuple(
         msgspec.structs.replace(
             item, headers=tuple(each for each in item.headers if each[0].lower() not in dropped)
--- a/src/bellweir/hosted/batches/step_scheduler.py
+++ b/src/bellweir/hosted/batches/step_scheduler.py
@@ -47,7 +47,7 @@
     @property
     def services(self) -> tuple[str, ...]:
         """Services whose engines may run its items."""
-        return tuple(sorted(part.service for part in self.route.parts))
+        return tuple(sorted(part.service for part in self.route.effective_backends))
 
     @property
     def trainer(self) -> tuple[str, str, str]:
--- a/src/bellweir/hosted/batches/worker_selection.py
+++ b/src/bellweir/hosted/batches/worker_selection.py
@@ -82,7 +82,7 @@
             return
         versions = [
             version
-            for part in route.parts
+            for part in route.effective_backends
             for worker in self._workers.ready(part.service)
             if (version := worker.version_of(model)) is not None
         ]
@@ -99,7 +99,7 @@
         moved = self._acquire_move_target(route, progress)
         if moved is not None:
             return moved
-        parts = tuple((part.service, part.weight) for part in route.parts)
+        parts = tuple((part.service, part.weight) for part in route.effective_backends)
         key = (table.version, route.host, route.path_prefix)
         by_event_time = progress.stage is Stage.GENERATION and self._policy.choose_by_pace
         time_per_event_of = self._attempts.event_times.of if by_event_time else None
@@ -142,7 +142,7 @@
         """Take a slot of the worker that a run was moved to; its service is charged already."""
         if progress.stage is not Stage.GENERATION or not progress.moved_to:
             return None
-        for part in route.parts:
+        for part in route.effective_backends:
             for worker in self._eligible(part.service, progress):
                 is_target = worker.incarnation == progress.moved_to
                 if is_target and self._can_accept(worker, progress):
--- a/src/bellweir/hosted/leniency.py
+++ b/src/bellweir/hosted/compatibility.py
@@ -9,18 +9,18 @@
 """Stands for a kind that nobody here knows: such a request runs at most once."""
 
 
-def without_nulls(plain: Any) -> Any:
+def remove_nulls(plain: Any) -> Any:
     """Plain values without the keys whose value is null: their defaults count."""
     if isinstance(plain, dict):
-        return {key: without_nulls(value) for key, value in plain.items() if value is not None}
+        return {key: remove_nulls(value) for key, value in plain.items() if value is not None}
     if isinstance(plain, list):
-        return [without_nulls(each) for each in plain]
+        return [remove_nulls(each) for each in plain]
     return plain
 
 
-def readable_configuration(spec: Any) -> Any:
+def normalize_configuration(spec: Any) -> Any:
     """A configuration whose routes all have a kind that is known here."""
-    plain = without_nulls(spec)
+    plain = remove_nulls(spec)
     routes = plain.get("routes") if isinstance(plain, dict) else None
     if not isinstance(routes, list):
         return plain
--- a/src/bellweir/hosted/entries.py
+++ b/src/bellweir/hosted/entries.py
@@ -5,9 +5,9 @@
 cause, and counted; its contents are never logged, since they may hold keys.
 
 >>> sound = {"service": "s", "address": "h:1", "zone": "z", "slots": 2, "state": "ready"}
->>> unusable_cause(StoredRecord("servers", "a", 5, sound)) is None
+>>> invalid_reason(StoredRecord("servers", "a", 5, sound)) is None
 True
->>> unusable_cause(StoredRecord("servers", "b", 6, {**sound, "slots": "two"}))
+>>> invalid_reason(StoredRecord("servers", "b", 6, {**sound, "slots": "two"}))
 'Expected `int`, got `str` - at `$.slots`'
 """
 
@@ -44,7 +44,7 @@
 Amount = Annotated[float, msgspec.Meta(ge=0)]
 
 
-class UnusableEntryError(ValueError):
+class InvalidEntryError(ValueError):
     """An entry that does not say what its kind must say; the text is the cause, without values."""
 
 
@@ -93,12 +93,12 @@
 
 
 def worker_entry(spec: Any) -> WorkerEntry:
-    """Return a worker's own entry. Raises `UnusableEntryError`.
+    """Return a worker's own entry. Raises `InvalidEntryError`.
 
     >>> worker_entry({"service": "s", "address": "h", "zone": "z", "slots": 1, "state": "ready"})
     Traceback (most recent call last):
     ...
-    bellweir.hosted.entries.UnusableEntryError: an address that is not HOST:PORT
+    bellweir.hosted.entries.InvalidEntryError: an address that is not HOST:PORT
     """
     told = _converted(plain_values(spec), _ToldWorker)
     check_address(told.address)
@@ -114,18 +114,18 @@
 
 
 def named_version(spec: Any) -> NamedVersion:
-    """Return a named version of weights. Raises `UnusableEntryError`."""
+    """Return a named version of weights. Raises `InvalidEntryError`."""
     told = _converted(plain_values(spec), _ToldVersion)
     return NamedVersion(told.model, told.version)
 
 
 def check_address(address: str) -> None:
-    """Check that something can be connected to. Raises `UnusableEntryError`."""
+    """Check that something can be connected to. Raises `InvalidEntryError`."""
     host, _, port = address.rpartition(":")
     is_host = host != "" and host.isprintable() and not any(mark in host for mark in " /@")
     is_port = port.isascii() and port.isdigit() and 0 < int(port[:6]) <= HIGHEST_PORT
     if not is_host or not is_port:
-        raise UnusableEntryError("an address that is not HOST:PORT")
+        raise InvalidEntryError("an address that is not HOST:PORT")
 
 
 def _check_node(spec: Any) -> None:
@@ -134,7 +134,7 @@
 
 def _check_plain(spec: Any) -> None:
     if not isinstance(plain_values(spec), dict):
-        raise UnusableEntryError("not an object")
+        raise InvalidEntryError("not an object")
 
 
 CHECKS: dict[str, Callable[[Any], object]] = {
@@ -149,17 +149,17 @@
 """What must hold of an entry, by kind. Parts of a configuration are looked at one by one later."""
 
 
-def unusable_cause(record: StoredRecord) -> str | None:
+def invalid_reason(record: StoredRecord) -> str | None:
     """Return why nothing of a record may be used; None for a usable one."""
     check = CHECKS.get(record.kind, lambda _spec: None)
     try:
         check(record.spec)
-    except UnusableEntryError as failure:
+    except InvalidEntryError as failure:
         return str(failure)
     return None
 
 
-class UnreadableEntries:
+class EntryValidator:
     """Sorts out what can't be used, and keeps count. Safe for threads."""
 
     __slots__ = ("_counts", "_lock", "_noted")
@@ -179,10 +179,10 @@
         with self._lock:
             self._counts[kind] += 1
 
-    def checked(self, listing: Listing) -> Listing:
+    def validate_listing(self, listing: Listing) -> Listing:
         """Return a list without the entries that can't be used."""
         bad = {
-            record.name: cause for record in listing.records if (cause := unusable_cause(record))
+            record.name: cause for record in listing.records if (cause := invalid_reason(record))
         }
         if not bad and not listing.unreadable:
             return listing
@@ -193,28 +193,30 @@
             if record.name in bad
         )
         unreadable = (*listing.unreadable, *found)
-        self.note_all(unreadable)
+        self.log_invalid_entries(unreadable)
         return Listing(listing.revision, records, unreadable)
 
-    def checked_changes(self, changes: Changes) -> Changes:
+    def validate_changes(self, changes: Changes) -> Changes:
         """Return changes in which entries that can't be used are gone."""
-        self.note_all(changes.unreadable)
+        self.log_invalid_entries(changes.unreadable)
         checked = tuple(self._checked_change(change) for change in changes.changes)
         return Changes(changes.revision, checked, changes.unreadable)
 
     def is_usable(self, record: StoredRecord) -> bool:
         """Whether a record may be used; one that may not is logged and counted."""
-        cause = unusable_cause(record)
+        cause = invalid_reason(record)
         if cause is not None:
-            self.note(UnreadableRecord(record.kind, record.name, record.revision, cause))
+            self.log_invalid_entry(
+                UnreadableRecord(record.kind, record.name, record.revision, cause)
+            )
         return cause is None
 
-    def note_all(self, found: tuple[UnreadableRecord, ...]) -> None:
+    def log_invalid_entries(self, found: tuple[UnreadableRecord, ...]) -> None:
         """Log and count what can't be read."""
         for each in found:
-            self.note(each)
+            self.log_invalid_entry(each)
 
-    def note(self, found: UnreadableRecord) -> None:
+    def log_invalid_entry(self, found: UnreadableRecord) -> None:
         """Log and count an entry, once for each of its revisions."""
         mark = found.revision if found.revision is not None else found.digest
         key = (found.kind, found.name if found.name is not None else found.digest)
@@ -247,13 +249,13 @@
 
 
 def plain_values(spec: Any, depth: int = 0) -> Any:
-    """Return plain values without nulls. Raises `UnusableEntryError` for deep ones.
+    """Return plain values without nulls. Raises `InvalidEntryError` for deep ones.
 
     >>> plain_values({"a": None, "b": [1, {"c": None}]})
     {'b': [1, {}]}
     """
     if depth > DEEPEST_NESTING:
-        raise UnusableEntryError("nested too deep")
+        raise InvalidEntryError("nested too deep")
     if isinstance(spec, dict):
         return {
             key: value if type(value) in SIMPLE_TYPES else plain_values(value, depth + 1)
@@ -269,13 +271,13 @@
     try:
         return msgspec.convert(plain, into)
     except msgspec.ValidationError as failure:
-        raise UnusableEntryError(cause_of(failure)) from None
+        raise InvalidEntryError(validation_message(failure)) from None
 
 
-def cause_of(failure: msgspec.ValidationError) -> str:
+def validation_message(failure: msgspec.ValidationError) -> str:
     """Return what a check found, without the value that it found.
 
-    >>> cause_of(msgspec.ValidationError("Invalid enum value 'secret' - at `$.state`"))
+    >>> validation_message(msgspec.ValidationError("Invalid enum value 'secret' - at `$.state`"))
     'a word that is not known - at `$.state`'
     """
     text = str(failure)
--- a/src/bellweir/hosted/event_stream.py
+++ b/src/bellweir/hosted/event_stream.py
@@ -3,7 +3,7 @@
 import re
 from dataclasses import dataclass
 
-MAXIMUM_EVENT_BYTES = 8 << 20
+MAX_EVENT_BYTES = 8 << 20
 EVENT_END = re.compile(rb"\r?\n\r?\n")
 
 
@@ -45,8 +45,8 @@
             events.append(self._parse(pending[start : end.end()]))
             start = end.end()
         self._pending = pending[start:]
-        if len(self._pending) > MAXIMUM_EVENT_BYTES:
-            raise EventTooLongError(f"an event of more than {MAXIMUM_EVENT_BYTES} bytes")
+        if len(self._pending) > MAX_EVENT_BYTES:
+            raise EventTooLongError(f"an event of more than {MAX_EVENT_BYTES} bytes")
         return events
 
     def _parse(self, raw: bytes) -> StreamEvent:
--- a/src/bellweir/hosted/incarnation.py
+++ b/src/bellweir/hosted/incarnation.py
@@ -20,10 +20,10 @@
     instance: str
     born_ms: int = 0
 
-    def is_told_by(self, born_ms: int) -> bool:
+    def matches_start(self, born_ms: int) -> bool:
         """Whether something that tells a worker's start is about this one; 0: it tells none.
 
-        >>> [Incarnation("i-1", 7).is_told_by(born_ms) for born_ms in (7, 9, 0)]
+        >>> [Incarnation("i-1", 7).matches_start(born_ms) for born_ms in (7, 9, 0)]
         [True, False, True]
         """
         return not born_ms or not self.born_ms or born_ms == self.born_ms
--- a/src/bellweir/hosted/interface.py
+++ b/src/bellweir/hosted/interface.py
@@ -41,7 +41,7 @@
     """On a worker's answer: requests running, waiting, slots, and how long work takes there now."""
 
     @property
-    def of_client_only(self) -> frozenset[str]:
+    def client_only(self) -> frozenset[str]:
         """Lower-case names of headers that end here where a deployment has tenants."""
         return frozenset({self.tenant.lower(), self.authorization.lower()})
 
@@ -138,7 +138,7 @@
     """Objects that can't be read; one whose name can stands among the changes as deleted."""
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether it is known of each change which object it is of."""
         return all(each.name is not None for each in self.unreadable)
 
@@ -198,7 +198,7 @@
     """Own kind: where the ledger's replicas are."""
 
 
-class OrderAnswer(Enum):
+class OrderOutcome(Enum):
     """What a worker said to an order."""
 
     ACCEPTED = "accepted"
@@ -226,7 +226,7 @@
     mode: str
     """`wait`, `truncate` or `retain`: what becomes of running requests."""
     holder: str
-    fence: int
+    fencing_token: int
     expected_sequence: int | None
 
 
@@ -259,15 +259,15 @@
     @abstractmethod
     def order(
         self, address: str, instance: str, order: VersionOrder, timeout_s: float
-    ) -> OrderAnswer:
+    ) -> OrderOutcome:
         """Give an order to the worker `instance` at an address."""
 
     @abstractmethod
-    def renew(self, address: str) -> None:
+    def reset_connections(self, address: str) -> None:
         """Use no connection of before: another worker is there, or one that started again."""
 
 
-class DutyAnswer(Enum):
+class DutyOutcome(Enum):
     """What the platform said to a call that is a duty of one node at a time."""
 
     DONE = "done"
@@ -291,29 +291,29 @@
     counts: dict[str, int]
     """Requests that began to run, by tenant."""
     holder: str
-    fence: int
+    fencing_token: int
 
 
 @dataclass(frozen=True)
-class WorkersOrder:
+class WorkerCountOrder:
     """How many workers of a service a zone is to hold."""
 
     service: str
     zone: str
     count: int
     holder: str
-    fence: int
+    fencing_token: int
 
 
 class DutyPlatform(ABC):
     """Calls to the platform that are a duty of one node at a time. Each has its own time-out."""
 
     @abstractmethod
-    def report_usage(self, report: UsageReport, timeout_s: float) -> DutyAnswer:
+    def report_usage(self, report: UsageReport, timeout_s: float) -> DutyOutcome:
         """Report a window's usage; the same report again does no harm."""
 
     @abstractmethod
-    def order_workers(self, order: WorkersOrder, timeout_s: float) -> DutyAnswer:
+    def order_workers(self, order: WorkerCountOrder, timeout_s: float) -> DutyOutcome:
         """Order a zone's number of workers; `REFUSED` when none can be had there now."""
 
 
--- a/src/bellweir/hosted/json_parts.py
+++ b/src/bellweir/hosted/json_parts.py
@@ -10,7 +10,7 @@
 {'at': b'5', 'items': b'[nope, 2]'}
 >>> elements(b'["' + 20_000 * rb'\"' + b"]")
 Traceback (most recent call last):
-bellweir.hosted.json_parts.UnevenError: a quote without its other end
+bellweir.hosted.json_parts.UnbalancedError: a quote without its other end
 """
 
 import re
@@ -20,17 +20,17 @@
 _MEMBER = re.compile(rb'\s*"([^"\\]*)"\s*:(.*)', re.DOTALL)
 
 
-class UnevenError(ValueError):
+class UnbalancedError(ValueError):
     """A text whose brackets or quotes do not match, so that its parts can't be told."""
 
 
 def elements(text: bytes) -> list[bytes]:
-    """Return the texts of a list's elements. Raises `UnevenError`."""
+    """Return the texts of a list's elements. Raises `UnbalancedError`."""
     return _parts(text, b"[", b"]")
 
 
 def members(text: bytes) -> dict[str, bytes]:
-    """Return the texts of an object's values by key. Raises `UnevenError`.
+    """Return the texts of an object's values by key. Raises `UnbalancedError`.
 
     Members whose keys are escaped or no UTF-8 are left out.
     """
@@ -47,23 +47,23 @@
     """Return what stands between the commas of the outermost brackets."""
     content = text.strip()
     if not content.startswith(opening) or not content.endswith(closing):
-        raise UnevenError("not the brackets that were expected")
+        raise UnbalancedError("not the brackets that were expected")
     found = []
     depth, begin = 0, 1
     for token in _TOKEN.finditer(content):
         mark = token.group()
         if mark == b'"':
-            raise UnevenError("a quote without its other end")
+            raise UnbalancedError("a quote without its other end")
         if mark in (b"[", b"{"):
             depth += 1
         elif mark in (b"]", b"}"):
             depth -= 1
             if depth <= 0 and token.end() != len(content):
-                raise UnevenError("brackets that do not match")
+                raise UnbalancedError("brackets that do not match")
         elif mark == b"," and depth == 1:
             found.append(content[begin : token.start()].strip())
             begin = token.end()
     if depth != 0:
-        raise UnevenError("brackets that do not match")
+        raise UnbalancedError("brackets that do not match")
     last = content[begin:-1].strip()
     return [*found, last] if found or last else []
--- a/src/bellweir/hosted/metrics_service.py
+++ b/src/bellweir/hosted/metrics_service.py
@@ -10,7 +10,7 @@
 from bellweir.hosted.serving.metrics import RequestMetrics
 from bellweir.hosted.serving.simple_application import SimpleApplication
 from bellweir.hosted.settings import HostedSettings
-from bellweir.hosted.store_calls import CountedStore
+from bellweir.hosted.store_calls import CountingStore
 from bellweir.hosted.views.service import ViewsService
 from bellweir.http_server.http import Request, Response, json_response
 from bellweir.http_server.server import HttpServer
@@ -35,7 +35,7 @@
     name = names.TELEMETRY
     dependencies = (names.VIEWS, names.MEMBERSHIP)
 
-    def __init__(self, kernel: Kernel, settings: HostedSettings, store: CountedStore) -> None:
+    def __init__(self, kernel: Kernel, settings: HostedSettings, store: CountingStore) -> None:
         self._kernel = kernel
         self._address = settings.listen.metrics
         self.metrics = RequestMetrics()
--- a/src/bellweir/hosted/peer_records.py
+++ b/src/bellweir/hosted/peer_records.py
@@ -14,7 +14,7 @@
 
 from returns.result import Success
 
-from bellweir.hosted.entries import unusable_cause
+from bellweir.hosted.entries import invalid_reason
 from bellweir.hosted.interface import RecordKind, RecordStore, StoreErrorKind
 from bellweir.hosted.zone_ranking import first_of_zone
 from bellweir.kernel import names
@@ -37,7 +37,7 @@
 """Time between two looks while no other node is known."""
 
 
-def has_record(members: Sequence[Member], own: Member) -> bool:
+def should_register(members: Sequence[Member], own: Member) -> bool:
     """Whether a node is one of those of its zone that leave their address in the store."""
     zones = len({one.zone for one in members})
     first = first_of_zone(members, own.zone, math.ceil(FEWEST_RECORDS / zones))
@@ -77,7 +77,7 @@
             stopping.wait(ALONE_PERIOD_S if is_waiting else LOOK_PERIOD_S)
 
     def _ranks(self) -> bool:
-        return has_record(self._membership.members(), self._membership.self_member())
+        return should_register(self._membership.members(), self._membership.self_member())
 
     def _is_alone(self) -> bool:
         return len(self._membership.members()) <= 1
@@ -107,6 +107,6 @@
         addresses = {
             str(record.spec["peerAddress"])
             for record in found.unwrap().records
-            if unusable_cause(record) is None
+            if invalid_reason(record) is None
         }
         self._membership.suggest_seeds(tuple(addresses - {own}))
--- a/src/bellweir/hosted/placement_objects.py
+++ b/src/bellweir/hosted/placement_objects.py
@@ -13,7 +13,7 @@
     ObjectStoreProvider,
     StoredObject,
 )
-from bellweir.hosted.entries import unusable_cause
+from bellweir.hosted.entries import invalid_reason
 from bellweir.hosted.interface import (
     RecordKind,
     RecordStore,
@@ -70,7 +70,7 @@
                 tuple(
                     _stored(record.spec["kind"], record)
                     for record in listing.records
-                    if unusable_cause(record) is None
+                    if invalid_reason(record) is None
                 ),
             )
         ).alt(_error)
@@ -84,7 +84,7 @@
             yield Failure(_error(found.failure()))
             return
         for change in found.unwrap().changes:
-            if unusable_cause(change.record) is not None:
+            if invalid_reason(change.record) is not None:
                 continue
             stored = _stored(change.record.spec["kind"], change.record)
             yield Success(ObjectChange(change.record.revision, stored, change.deleted))
@@ -114,7 +114,7 @@
 
 
 def _usable(kind: str, record: StoredRecord) -> Result[StoredObject, PlatformError]:
-    cause = unusable_cause(record)
+    cause = invalid_reason(record)
     if cause is not None:
         return Failure(PlatformError(ErrorKind.INVALID, cause))
     return Success(_stored(kind, record))
--- a/src/bellweir/hosted/process.py
+++ b/src/bellweir/hosted/process.py
@@ -13,8 +13,7 @@
 
 from bellweir.events.bounded import BoundedLog
 from bellweir.events.log import bind_node, configure_logs, emit
-from bellweir.hosted.checked_store import CheckedStore
-from bellweir.hosted.entries import UnreadableEntries
+from bellweir.hosted.entries import EntryValidator
 from bellweir.hosted.interface import HostingPlatform
 from bellweir.hosted.log_events import (
     LINES_LEFT_OUT,
@@ -34,7 +33,8 @@
     LoadedSettings,
     load_settings,
 )
-from bellweir.hosted.store_calls import CountedStore
+from bellweir.hosted.store_calls import CountingStore
+from bellweir.hosted.validating_store import ValidatingStore
 from bellweir.hosted.views.relay import FIRST_START_SEED_WAIT_S, SEED_WAIT_S
 from bellweir.hosted.views.service import ViewsService
 from bellweir.kernel import names
@@ -77,8 +77,8 @@
     def _register(self, settings: HostedSettings, platform: HostingPlatform) -> None:
         kernel = self.kernel
         shared = node_settings(settings)
-        entries = UnreadableEntries()
-        store = CountedStore(CheckedStore(platform.store, entries))
+        entries = EntryValidator()
+        store = CountingStore(ValidatingStore(platform.store, entries))
         platform = replace(platform, store=store)
         self._store = store
         add = kernel.registry.register
--- a/src/bellweir/hosted/records.py
+++ b/src/bellweir/hosted/records.py
@@ -58,12 +58,12 @@
     """Whether its requests need no tenant's key."""
 
     @property
-    def parts(self) -> tuple[Backend, ...]:
+    def effective_backends(self) -> tuple[Backend, ...]:
         """The services and their shares."""
         return self.backends or (Backend(self.service),)
 
     @property
-    def takes_jobs(self) -> bool:
+    def accepts_jobs(self) -> bool:
         """Whether requests under it are batch jobs."""
         return self.kind in JOB_KINDS
 
--- a/src/bellweir/hosted/scaling/controller.py
+++ b/src/bellweir/hosted/scaling/controller.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Mapping
 
 from bellweir.events.log import emit
-from bellweir.hosted.interface import DutyAnswer, DutyPlatform, WorkersOrder
+from bellweir.hosted.interface import DutyOutcome, DutyPlatform, WorkerCountOrder
 from bellweir.hosted.log_events import WORKERS_ORDERED
 from bellweir.hosted.records import ServiceEntry
 from bellweir.hosted.scaling.desired_counts import DesiredCounts
@@ -92,7 +92,7 @@
         fencing_token = self._lease.begin_operation(CALL_TIMEOUT_S)
         if fencing_token == 0:
             return
-        order = WorkersOrder(service, decision.zone, decision.count, self._node, fencing_token)
+        order = WorkerCountOrder(service, decision.zone, decision.count, self._node, fencing_token)
         answer = self._platform.order_workers(order, CALL_TIMEOUT_S)
         emit(
             WORKERS_ORDERED,
@@ -107,12 +107,12 @@
         )
         now_s = self._now_s()
         backoff_s = FAILED_CALL_BACKOFF_S
-        if answer is DutyAnswer.DONE:
+        if answer is DutyOutcome.DONE:
             zone.desired = decision.count
             for exhausted in decision.replaced_zones:
                 zones[exhausted].desired = zones[exhausted].ready
             backoff_s = limits.boot_s + REORDER_MARGIN_S
-        elif answer in (DutyAnswer.REFUSED, DutyAnswer.INVALID):
+        elif answer in (DutyOutcome.REFUSED, DutyOutcome.INVALID):
             zone.exhausted_until_s = now_s + CAPACITY_BACKOFF_S
             backoff_s = CAPACITY_BACKOFF_S
         self._next_order_s[(service, decision.zone)] = now_s + backoff_s
--- a/src/bellweir/hosted/serving/application.py
+++ b/src/bellweir/hosted/serving/application.py
@@ -90,7 +90,7 @@
         if refusal is not None:
             return refusal
         tenant = admission.tenant_name if table.keys.are_required else None
-        if route.takes_jobs:
+        if route.accepts_jobs:
             return self._batches.accept(request, route, tenant)
         priority = admission.tenant.priority if admission.tenant is not None else None
         client = read_client_request(request, route, self._names, tenant, priority)
--- a/src/bellweir/hosted/serving/client_request.py
+++ b/src/bellweir/hosted/serving/client_request.py
@@ -125,7 +125,7 @@
 
 def with_tenant(headers: Headers, tenant: str, names: HeaderNames) -> Headers:
     """Replace the API key in the headers by the tenant's name."""
-    dropped = names.of_client_only
+    dropped = names.client_only
     kept = [(name, value) for name, value in headers if name.lower() not in dropped]
     return [*kept, (names.tenant, tenant)] if tenant else kept
 
--- a/src/bellweir/hosted/serving/forwarding.py
+++ b/src/bellweir/hosted/serving/forwarding.py
@@ -120,7 +120,7 @@
     def candidates(self, client: ClientRequest, table: RouteTable) -> list[list[Worker]]:
         """Return the ready workers of each service of the route, in the order to try them."""
         route = client.route
-        parts = tuple((part.service, part.weight) for part in route.parts)
+        parts = tuple((part.service, part.weight) for part in route.effective_backends)
         key = (table.version, route.host, route.path_prefix)
         return [self._workers.ready(service) for service in self._parts.order(parts, key)]
 
@@ -205,7 +205,7 @@
         It does not to routes split over several services: queues are per service, and the capacity
         of one service would be taken for that of another.
         """
-        return self._gate is not None and len(client.route.parts) == 1
+        return self._gate is not None and len(client.route.effective_backends) == 1
 
     def _next_worker(
         self, client: ClientRequest, groups: list[list[Worker]], progress: Progress
@@ -348,13 +348,15 @@
                 REQUEST_ANSWERED, instance=sorted(one.instance for one in progress.ran_at), **fields
             )
         else:
-            ready = sum(len(self._workers.ready(part.service)) for part in client.route.parts)
+            ready = sum(
+                len(self._workers.ready(part.service)) for part in client.route.effective_backends
+            )
             emit(REQUEST_GIVEN_UP, cause=progress.cause, ready=ready, **fields)
 
 
 def _queue_of(client: ClientRequest) -> str:
     """Return the gate's queue for a request: the only service of its route."""
-    return client.route.parts[0].service
+    return client.route.effective_backends[0].service
 
 
 def default_retry_after_s(cause: str) -> float:
--- a/src/bellweir/hosted/serving/metrics.py
+++ b/src/bellweir/hosted/serving/metrics.py
@@ -7,7 +7,7 @@
 from prometheus_client.exposition import generate_latest
 from prometheus_client.registry import Collector
 
-from bellweir.hosted.entries import UnreadableEntries
+from bellweir.hosted.entries import EntryValidator
 from bellweir.hosted.store_calls import StoreCallCounts
 
 LATENCY_BUCKETS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
@@ -72,7 +72,7 @@
         """Export the counts of calls to the platform's store."""
         self._registry.register(_StoreCalls(counts))
 
-    def add_unreadable_entries(self, entries: UnreadableEntries) -> None:
+    def add_unreadable_entries(self, entries: EntryValidator) -> None:
         """Export the counts of unreadable entries of the platform's store."""
         self._registry.register(_Unreadable(entries))
 
@@ -124,7 +124,7 @@
 class _Unreadable(Collector):
     """Collector of the unreadable entry counts."""
 
-    def __init__(self, entries: UnreadableEntries) -> None:
+    def __init__(self, entries: EntryValidator) -> None:
         self._entries = entries
 
     def collect(self) -> Iterator[CounterMetricFamily]:
--- a/src/bellweir/hosted/store_calls.py
+++ b/src/bellweir/hosted/store_calls.py
@@ -5,9 +5,9 @@
 
 >>> counts = StoreCallCounts()
 >>> counts.add("servers", "list", "done")
->>> counts.take_news()
+>>> counts.take_increments()
 {'servers/list/done': 1}
->>> counts.take_news()
+>>> counts.take_increments()
 {}
 """
 
@@ -60,7 +60,7 @@
         with self._lock:
             return dict(self._counts)
 
-    def take_news(self) -> dict[str, int]:
+    def take_increments(self) -> dict[str, int]:
         """Calls since this was asked last, by `kind/call/outcome`."""
         with self._lock:
             added = self._counts - self._told
@@ -68,7 +68,7 @@
         return {"/".join(key): count for key, count in sorted(added.items())}
 
 
-class CountedStore(RecordStore):
+class CountingStore(RecordStore):
     """A store whose calls are counted; everything else is the inner store's."""
 
     def __init__(self, inner: RecordStore) -> None:
@@ -84,7 +84,7 @@
     def log_calls(self) -> None:
         """Write a line with the calls since the last one, if there were any."""
         self._log_due_s = time.monotonic() + LOG_PERIOD_S
-        calls = self.counts.take_news()
+        calls = self.counts.take_increments()
         if calls:
             emit(STORE_CALLS, calls=calls)
 
--- a/src/bellweir/hosted/usage/reporter.py
+++ b/src/bellweir/hosted/usage/reporter.py
@@ -10,7 +10,7 @@
 from returns.result import Success
 
 from bellweir.events.log import emit
-from bellweir.hosted.interface import DutyAnswer, DutyPlatform, UsageReport
+from bellweir.hosted.interface import DutyOutcome, DutyPlatform, UsageReport
 from bellweir.hosted.log_events import USAGE_MISSED, USAGE_REPORTED
 from bellweir.hosted.settings import UsageSettings
 from bellweir.hosted.usage.state import USAGE_KEY, SettleUsage, UsageSettled
@@ -107,4 +107,4 @@
             fence=fencing_token,
             answer=answer.value,
         )
-        return answer in (DutyAnswer.DONE, DutyAnswer.INVALID)
+        return answer in (DutyOutcome.DONE, DutyOutcome.INVALID)
--- a/src/bellweir/hosted/checked_store.py
+++ b/src/bellweir/hosted/validating_store.py
@@ -4,20 +4,20 @@
 
 from returns.result import Result, Success
 
-from bellweir.hosted.entries import UnreadableEntries
+from bellweir.hosted.entries import EntryValidator
 from bellweir.hosted.interface import Changes, Listing, RecordStore, StoredRecord, StoreError
 
 
-class CheckedStore(RecordStore):
+class ValidatingStore(RecordStore):
     """Lists and watches of an inner store, without what can't be used."""
 
-    def __init__(self, inner: RecordStore, entries: UnreadableEntries) -> None:
+    def __init__(self, inner: RecordStore, entries: EntryValidator) -> None:
         self._inner = inner
         self._entries = entries
 
     def list_kind(self, kind: str, *, stale: bool = False) -> Result[Listing, StoreError]:
         """List what can be used."""
-        return self._inner.list_kind(kind, stale=stale).map(self._entries.checked)
+        return self._inner.list_kind(kind, stale=stale).map(self._entries.validate_listing)
 
     def read(self, kind: str, name: str) -> Result[StoredRecord, StoreError]:
         """Read one object as it is: its reader needs the revision of a bad one to replace it."""
@@ -28,7 +28,7 @@
 
     def watch(self, kind: str, revision: int, wait_s: float) -> Result[Changes, StoreError]:
         """Watch; what became unusable is told as deleted."""
-        return self._inner.watch(kind, revision, wait_s).map(self._entries.checked_changes)
+        return self._inner.watch(kind, revision, wait_s).map(self._entries.validate_changes)
 
     def interrupt_watches(self, kind: str) -> None:
         """Have watches fail."""
--- a/src/bellweir/hosted/views/configuration.py
+++ b/src/bellweir/hosted/views/configuration.py
@@ -5,7 +5,7 @@
 from types import MappingProxyType
 
 from bellweir.events.log import emit
-from bellweir.hosted.entries import UnreadableEntries, UnusableEntryError
+from bellweir.hosted.entries import EntryValidator, InvalidEntryError
 from bellweir.hosted.interface import Listing, RecordChange, RecordKind, StoredRecord
 from bellweir.hosted.log_events import CONFIGURATION_IN_FORCE, CONFIGURATION_REFUSED
 from bellweir.hosted.records import Configuration, Route, ServiceEntry
@@ -70,12 +70,12 @@
 
     def has_engines(self, route: Route) -> bool:
         """Whether a route's requests go to model engines."""
-        entries = (self.services.get(part.service) for part in route.parts)
+        entries = (self.services.get(part.service) for part in route.effective_backends)
         return any(entry is not None and entry.engine is not None for entry in entries)
 
     def has_public_jobs(self, host: str) -> bool:
         """Whether a host has a route whose batch jobs are handed in without a key."""
-        return any(route.takes_jobs and route.public for route in self._routes_of(host))
+        return any(route.accepts_jobs and route.public for route in self._routes_of(host))
 
     def _routes_of(self, host: str) -> list[Route]:
         name = host.lower()
@@ -86,9 +86,9 @@
 class ConfigurationView:
     """Holds the newest configuration heard of, whoever told it."""
 
-    def __init__(self, entries: UnreadableEntries | None = None) -> None:
+    def __init__(self, entries: EntryValidator | None = None) -> None:
         """`entries` counts what can't be read."""
-        self._entries = entries if entries is not None else UnreadableEntries()
+        self._entries = entries if entries is not None else EntryValidator()
         self._refused: object = NOTHING_REFUSED
         self._lock = threading.Lock()
         self._table: RouteTable | None = None
@@ -132,7 +132,7 @@
             former = self._table.configuration if self._table is not None else None
             try:
                 found = read_configuration(spec, self._spec, former)
-            except UnusableEntryError as failure:
+            except InvalidEntryError as failure:
                 self._note_refused(spec, str(failure))
                 return
             configuration = found.configuration
--- a/src/bellweir/hosted/views/configuration_parts.py
+++ b/src/bellweir/hosted/views/configuration_parts.py
@@ -24,8 +24,8 @@
 import msgspec
 
 from bellweir.events.log import emit
-from bellweir.hosted.entries import UnusableEntryError, cause_of, plain_values
-from bellweir.hosted.leniency import readable_configuration
+from bellweir.hosted.compatibility import normalize_configuration
+from bellweir.hosted.entries import InvalidEntryError, plain_values, validation_message
 from bellweir.hosted.log_events import CONFIGURATION_PART_UNREADABLE
 from bellweir.hosted.records import ClientLimits, Configuration, Route, ServiceEntry, TenantEntry
 
@@ -79,7 +79,7 @@
 def read_configuration(
     spec: Any, former_spec: Any = None, former: Configuration | None = None
 ) -> ReadConfiguration:
-    """Read a configuration beside the one in force. Raises `UnusableEntryError`.
+    """Read a configuration beside the one in force. Raises `InvalidEntryError`.
 
     >>> routes = [{"host": "h", "pathPrefix": "/a/", "timeoutMs": "soon"}]
     >>> found = read_configuration({"version": 4, "routes": routes})
@@ -105,9 +105,9 @@
     """Reads one configuration."""
 
     def __init__(self, spec: Any, former_spec: Any, former: Configuration | None) -> None:
-        self._plain = readable_configuration(plain_values(spec))
+        self._plain = normalize_configuration(plain_values(spec))
         if not isinstance(self._plain, dict):
-            raise UnusableEntryError("not an object")
+            raise InvalidEntryError("not an object")
         self._former_routes = _plain_routes(former_spec)
         self._former = former or Configuration(0)
         self._closed: set[Address] = set()
@@ -130,10 +130,10 @@
         for plain in self._list("routes"):
             try:
                 yield _convert(plain, Route)
-            except UnusableEntryError as failure:
+            except InvalidEntryError as failure:
                 address = _address_of(plain)
                 if address is None:
-                    raise UnusableEntryError("a route without a host and a prefix") from failure
+                    raise InvalidEntryError("a route without a host and a prefix") from failure
                 route = self._former_route(address, plain)
                 if route is not None:
                     yield route
@@ -157,10 +157,10 @@
         for plain in self._list(key):
             try:
                 yield _convert(plain, into)
-            except UnusableEntryError as failure:
+            except InvalidEntryError as failure:
                 name = plain.get("name") if isinstance(plain, dict) else None
                 if not isinstance(name, str):
-                    raise UnusableEntryError(f"one of the {key} without a name") from failure
+                    raise InvalidEntryError(f"one of the {key} without a name") from failure
                 part, word = instead(name)
                 if part is not None:
                     yield part
@@ -177,7 +177,7 @@
     def _tenants(self) -> tuple[TenantEntry, ...]:
         found = tuple(self._named("tenants", TenantEntry, self._tenant_instead))
         if not found and self._list("tenants"):
-            raise UnusableEntryError("no tenant can be read")
+            raise InvalidEntryError("no tenant can be read")
         return found
 
     def _limits(self) -> ClientLimits:
@@ -186,7 +186,7 @@
             return ClientLimits()
         try:
             limits: ClientLimits = _convert(plain, ClientLimits)
-        except UnusableEntryError as failure:
+        except InvalidEntryError as failure:
             self._note("limits", "", failure, FORMER)
             return self._former.limits
         return limits
@@ -194,16 +194,16 @@
     def _list(self, key: str) -> list[Any]:
         found = self._plain.get(key, [])
         if not isinstance(found, list):
-            raise UnusableEntryError(f"{key} that are no list")
+            raise InvalidEntryError(f"{key} that are no list")
         return found
 
-    def _note(self, part: str, name: str, failure: UnusableEntryError, instead: str) -> None:
+    def _note(self, part: str, name: str, failure: InvalidEntryError, instead: str) -> None:
         self._unreadable.append(UnreadablePart(part, name, str(failure), instead))
 
 
 def _plain_routes(spec: Any) -> dict[Address, dict[str, Any]]:
     """Routes of the configuration in force as they were written, by what they are about."""
-    plain = readable_configuration(spec) if spec is not None else {}
+    plain = normalize_configuration(spec) if spec is not None else {}
     routes = plain.get("routes", []) if isinstance(plain, dict) else []
     return {address: route for route in routes if (address := _address_of(route)) is not None}
 
@@ -221,4 +221,4 @@
     try:
         return msgspec.convert(plain, into)
     except msgspec.ValidationError as failure:
-        raise UnusableEntryError(cause_of(failure)) from None
+        raise InvalidEntryError(validation_message(failure)) from None
--- a/src/bellweir/hosted/views/follower.py
+++ b/src/bellweir/hosted/views/follower.py
@@ -15,7 +15,7 @@
 from returns.result import Success
 
 from bellweir.events.log import emit
-from bellweir.hosted.entries import UnreadableEntries
+from bellweir.hosted.entries import EntryValidator
 from bellweir.hosted.interface import (
     Listing,
     RecordChange,
@@ -75,7 +75,7 @@
         is_wanted: Callable[[], bool] = lambda: True,
         is_relayable: bool = True,
         on_return: Callable[[float], None] = lambda _until_s: None,
-        entries: UnreadableEntries | None = None,
+        entries: EntryValidator | None = None,
     ) -> None:
         """Changes that come within `settle_s` of each other are read by one call.
 
@@ -221,7 +221,7 @@
         changes = found.unwrap()
         self._note_answer()
         self.state.apply_changes(changes, time.monotonic() if changes.changes else asked_s)
-        if not changes.is_whole:
+        if not changes.is_complete:
             # Something can't be read that may have taken any object's place: only a list tells.
             stopping.wait(min(LIST_AGAIN_S, self._listed_s + LIST_AGAIN_S - asked_s))
             self._must_list = True
--- a/src/bellweir/hosted/views/kind_state.py
+++ b/src/bellweir/hosted/views/kind_state.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from bellweir.hosted.entries import UnreadableEntries, cause_of
+from bellweir.hosted.entries import EntryValidator, validation_message
 from bellweir.hosted.interface import (
     Changes,
     Listing,
@@ -79,7 +79,7 @@
         on_list: Callable[[Listing], None],
         on_change: Callable[[RecordChange], None],
         on_return: Callable[[float], None] = lambda _until_s: None,
-        entries: UnreadableEntries | None = None,
+        entries: EntryValidator | None = None,
     ) -> None:
         """`on_return` hears until when objects may come back whose entries have lapsed.
 
@@ -99,7 +99,7 @@
         self._on_list = on_list
         self._on_change = on_change
         self._on_return = on_return
-        self._entries = entries if entries is not None else UnreadableEntries()
+        self._entries = entries if entries is not None else EntryValidator()
         self._lock = threading.Lock()
         self._records: dict[str, StoredRecord] = {}
         self._recent: deque[tuple[int, str]] = deque(maxlen=REMEMBERED_CHANGES)
@@ -147,14 +147,16 @@
             self.note_return(now_s + news.grace_s)
         told = self._told_records(news)
         if news.base is None:
-            self.apply_listing(self._entries.checked(Listing(news.revision, told)), as_of_s)
+            self.apply_listing(
+                self._entries.validate_listing(Listing(news.revision, told)), as_of_s
+            )
         elif self.revision is None or news.base > self.revision:
             return False
         else:
             gone = [RecordChange(self._gone(name), deleted=True) for name in news.gone]
             found = [RecordChange(record, deleted=False) for record in told]
             changes = Changes(news.revision, (*gone, *found))
-            self.apply_changes(self._entries.checked_changes(changes), as_of_s)
+            self.apply_changes(self._entries.validate_changes(changes), as_of_s)
         self.relayed_as_of_s = max(self.relayed_as_of_s, as_of_s)
         return True
 
@@ -214,8 +216,10 @@
             try:
                 found.append(msgspec.convert(told, StoredRecord))
             except msgspec.ValidationError as failure:
-                cause = cause_of(failure)
-                self._entries.note(UnreadableRecord(self.kind, None, news.revision, cause))
+                cause = validation_message(failure)
+                self._entries.log_invalid_entry(
+                    UnreadableRecord(self.kind, None, news.revision, cause)
+                )
         return tuple(found)
 
     def _gone(self, name: str) -> StoredRecord:
--- a/src/bellweir/hosted/views/peer_copy.py
+++ b/src/bellweir/hosted/views/peer_copy.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from bellweir.hosted.entries import UnreadableEntries
+from bellweir.hosted.entries import EntryValidator
 from bellweir.hosted.interface import RecordKind, StoredRecord
 from bellweir.hosted.views.configuration import ConfigurationView
 from bellweir.hosted.views.workers import WorkersView
@@ -38,13 +38,13 @@
     configuration: ConfigurationView,
     workers: WorkersView,
     timeout_s: float,
-    entries: UnreadableEntries | None = None,
+    entries: EntryValidator | None = None,
 ) -> bool:
     """Take over what a peer knows; False when it knows nothing or does not answer.
 
     `entries` sorts out what nobody can use.
     """
-    checks = entries if entries is not None else UnreadableEntries()
+    checks = entries if entries is not None else EntryValidator()
     answer = transport.request(address, ViewsRequest(), timeout_s).value_or(None)
     if not isinstance(answer, ViewsAnswer) or answer.configuration is None:
         return False
--- a/src/bellweir/hosted/views/service.py
+++ b/src/bellweir/hosted/views/service.py
@@ -3,7 +3,7 @@
 import threading
 from collections.abc import Sequence
 
-from bellweir.hosted.entries import UnreadableEntries
+from bellweir.hosted.entries import EntryValidator
 from bellweir.hosted.interface import Listing, RecordChange, RecordKind, RecordStore
 from bellweir.hosted.views.configuration import ConfigurationView
 from bellweir.hosted.views.follower import KindFollower
@@ -42,7 +42,7 @@
         store: RecordStore,
         seeds: Sequence[str] = (),
         seed_wait_s: float = SEED_WAIT_S,
-        entries: UnreadableEntries | None = None,
+        entries: EntryValidator | None = None,
     ) -> None:
         """`seeds` are peers to be asked before the store; for `seed_wait_s` at most.
 
@@ -52,7 +52,7 @@
         self._seeds = seeds
         self._seed_wait_s = seed_wait_s
         self._checked: list[KindFollower] = []
-        self.entries = entries if entries is not None else UnreadableEntries()
+        self.entries = entries if entries is not None else EntryValidator()
         self.configuration = ConfigurationView(self.entries)
         self.workers = WorkersView()
         self.configuration_follower = KindFollower(
--- a/src/bellweir/hosted/views/workers.py
+++ b/src/bellweir/hosted/views/workers.py
@@ -16,7 +16,7 @@
 from typing import NamedTuple
 
 from bellweir.events.log import emit
-from bellweir.hosted.entries import UnusableEntryError, worker_entry
+from bellweir.hosted.entries import InvalidEntryError, worker_entry
 from bellweir.hosted.incarnation import Incarnation
 from bellweir.hosted.interface import Listing, RecordChange
 from bellweir.hosted.log_events import (
@@ -248,7 +248,7 @@
 def _worker(instance: str, spec: object) -> Worker | None:
     try:
         return Worker(instance, worker_entry(spec))
-    except UnusableEntryError:
+    except InvalidEntryError:
         return None
 
 
--- a/src/bellweir/hosted/weights/controller.py
+++ b/src/bellweir/hosted/weights/controller.py
@@ -18,7 +18,7 @@
 from bellweir.events.log import emit
 from bellweir.hosted.incarnation import Incarnation
 from bellweir.hosted.interface import (
-    OrderAnswer,
+    OrderOutcome,
     VersionOrder,
     WorkerControl,
     WorkerReport,
@@ -43,7 +43,7 @@
 REPORT_COUNTS_S = 3.0
 """Time for which a report counts beside an older entry: two beats of a worker and the way of its
 entry here. After that the entry may be the newer one."""
-MAY_LOAD = frozenset({OrderAnswer.ACCEPTED, OrderAnswer.UNKNOWN})
+MAY_LOAD = frozenset({OrderOutcome.ACCEPTED, OrderOutcome.UNKNOWN})
 """Answers after which the worker may be loading."""
 MODE_MIXING = "retain"
 """Running requests go on under the new version."""
@@ -168,7 +168,7 @@
     def _report_of(self, worker: Worker) -> WorkerReport | None:
         """A worker's report; None without one, or when another start of the worker answers."""
         report = self._control.report(worker.address, REPORT_TIMEOUT_S)
-        if report is None or not worker.incarnation.is_told_by(report.born_ms):
+        if report is None or not worker.incarnation.matches_start(report.born_ms):
             return None
         return report
 
@@ -196,7 +196,7 @@
         if answer not in MAY_LOAD:
             self._tell_load(worker.incarnation, model, 0.0)
 
-    def _note_answer(self, load: _Load, order: VersionOrder, answer: OrderAnswer) -> None:
+    def _note_answer(self, load: _Load, order: VersionOrder, answer: OrderOutcome) -> None:
         now_s = self._now_s()
         emit(
             ORDER_SENT,
@@ -204,16 +204,16 @@
             model=order.model,
             version=order.version,
             mode=order.mode,
-            fence=order.fence,
+            fence=order.fencing_token,
             expected=order.expected_sequence,
             answer=answer.value,
         )
-        if answer is OrderAnswer.ACCEPTED:
+        if answer is OrderOutcome.ACCEPTED:
             load.accepted_s = now_s
             load.look_s = now_s + LOOK_AFTER_ORDER_S
-        elif answer is OrderAnswer.IN_FORCE:
+        elif answer is OrderOutcome.IN_FORCE:
             self._note_held(load, order.version)
-        elif answer is OrderAnswer.UNKNOWN:
+        elif answer is OrderOutcome.UNKNOWN:
             load.look_s = now_s + RETRY_AFTER_SILENCE_S
         else:
             load.look_s = now_s + LOOK_AGAIN_S
@@ -283,7 +283,7 @@
 def _mode(table: RouteTable, worker: Worker) -> str:
     """How running requests are treated: routes that want one version let them end first."""
     for route in table.configuration.routes:
-        serves = any(part.service == worker.entry.service for part in route.parts)
+        serves = any(part.service == worker.entry.service for part in route.effective_backends)
         if route.kind in JOB_KINDS and route.single_version and serves:
             return MODE_PURE
     return MODE_MIXING
--- a/src/bellweir/hosted/weights/service.py
+++ b/src/bellweir/hosted/weights/service.py
@@ -96,7 +96,7 @@
             sparse_loads=self._settings.rollouts.sparse_loads,
             tell_load=self._load_teller(transport).tell,
         )
-        views.workers.subscribe_address_changes(self._platform.control.renew)
+        views.workers.subscribe_address_changes(self._platform.control.reset_connections)
         metrics = self._kernel.registry.find(names.TELEMETRY, MetricsService).metrics
         metrics.add_gauge(
             "bellweir_rollout_lease_seconds",
--- a/src/bellweir/hosted/weights/versions.py
+++ b/src/bellweir/hosted/weights/versions.py
@@ -4,7 +4,7 @@
 from types import MappingProxyType
 
 from bellweir.events.log import emit
-from bellweir.hosted.entries import UnusableEntryError, named_version
+from bellweir.hosted.entries import InvalidEntryError, named_version
 from bellweir.hosted.interface import Listing, RecordChange, StoredRecord
 from bellweir.hosted.log_events import VERSION_NAMED
 
@@ -32,7 +32,7 @@
     def _take(self, record: StoredRecord) -> None:
         try:
             named = named_version(record.spec)
-        except UnusableEntryError:
+        except InvalidEntryError:
             return
         if named.version > self._versions.get(named.model, 0):
             self._versions = MappingProxyType({**self._versions, named.model: named.version})
