--- a/features/hosted_entries.feature
+++ b/features/hosted_entries.feature
@@ -1,21 +1,21 @@
 Feature: An entry of another writer spoils no other
-  Anybody who may write to the hosting platform's store may write an entry that can't be read, or
-  that does not say what it must. Such an entry counts as absent, the others hold.
+  Any writer to the hosting platform's store may write an undecodable or invalid entry. Such an entry
+  counts as absent, and all others stay in effect.
 
   Scenario: Anything in the place of one entry of a list
-    Then whatever stands in the place of one worker's entry, the others may get requests
+    Then with any value in place of one worker's entry, the others stay available for requests
 
   Scenario: Anything in the place of one change that a watch tells
-    Then whatever stands in the place of one change, the others are taken, and a list is asked for where its name is lost
+    Then with any value in place of one change, the others are applied, and the kind is listed again if its name is unknown
 
   Scenario: Anything in the place of one record that a peer tells
-    Then whatever a peer tells in the place of one record, the others are taken
+    Then with any value in place of one record sent by a peer, the others are applied
 
   Scenario: An entry that does not say what its kind must say
-    Then entries with a field missing, of another type or out of range are not used, of any kind
+    Then entries of any kind with a missing, mistyped or out-of-range field are rejected
 
   Scenario: Pages that end with a bad entry
-    Then all pages of a list are read whichever entries can't be read
+    Then all pages of a list are read even if entries can't be read
 
   Scenario: A bad entry in the place of a good one
     Given a stand-in of the platform's store
@@ -27,22 +27,22 @@
     Then the process may send requests of "app" to "i-1, i-2"
 
   Scenario: The writer of a bad entry is to be found
-    Then a bad entry is logged once for each revision without its contents, and counted
+    Then an invalid entry is logged once per revision without its contents, and counted
 
   Scenario: A configuration that can't be read
-    Then a configuration that can't be read never replaces the one in force
+    Then an invalid configuration never replaces the one in effect
 
   Scenario: A part of a configuration that can't be read
-    Then a route that can't be read keeps its former terms or is closed, never another's
-    And a tenant, a service and limits that can't be read keep what they were
+    Then an invalid route keeps its former settings or is closed, and never gets those of another
+    And an invalid tenant, service or limits entry keeps its former value
 
   Scenario: Anything in the place of one part of a configuration
-    Then whatever stands in the place of one route, the others serve and nobody else serves its paths
+    Then with any value in place of one route, the others serve and no other route serves its paths
 
   Scenario: A request of a route that can't be read
-    Given a gateway before workers of its service
-    When a configuration comes in which the route "/single/" can't be read
+    Given a gateway with workers of its service
+    When a configuration arrives in which the route "/single/" is invalid
     Then a request of "/single/" is answered 503 and one of "/idempotent/" is served
 
   Scenario: A lease that another writer has overwritten
-    Then a lease that can't be read is taken only when its holder's time is over
+    Then an unreadable lease is acquired only after its holder's term has expired
--- a/features/hosted_whole.feature
+++ b/features/hosted_whole.feature
@@ -1,7 +1,7 @@
 Feature: The hosted roles as processes, through a short day
   Three gateways and three store machines run as processes with the deploy folder's settings
-  template, before stand-ins of the platform. Processes are killed, stopped and killed all at once,
-  and the platform's store falls silent.
+  template and stand-ins of the platform. Processes are killed and stopped singly and all at once,
+  and the platform's store stops responding.
 
   Scenario: A short day with troubles
     When the short day is played
--- a/features/steps/hosted_entries_steps.py
+++ b/features/steps/hosted_entries_steps.py
@@ -1,4 +1,4 @@
-"""Entries of other writers: whatever stands in one place, everything else goes on."""
+"""An invalid store entry of another writer must not affect the valid ones."""
 
 import json
 from itertools import pairwise
@@ -29,10 +29,9 @@
 from bellweir_platform.object_store import PlatformStore
 from bellweir_rehearsal.hosted.worker import WorkerStandIn
 
-SOUND = ("a", "c", "e")
-"""Names of sound entries, around the place of the bad one."""
-BAD = "d"
-ODD_TEXTS = (
+VALID_NAMES = ("a", "c", "e")
+INVALID_NAME = "d"
+MALFORMED_TEXTS = (
     b'"\xff\xfe"',
     b'"\\ud800"',
     b'{"metadata":{"name":"d","revision":4},"spec":"\\udfff"}',
@@ -55,7 +54,7 @@
     b'{"metadata":{"name":7,"revision":4},"spec":{}}',
     b'{"metadata":{"name":"d","revision":"4"},"spec":{}}',
 )
-ODD_VALUES = (
+MALFORMED_VALUES = (
     None,
     True,
     -1,
@@ -95,10 +94,10 @@
 
 @st.composite
 def wrong_specs(draw):
-    """A sound entry of which one field is missing or is something else."""
-    spec = entry(BAD)
+    """A valid entry with one field missing or replaced."""
+    spec = entry(INVALID_NAME)
     field = draw(st.sampled_from((*spec, "born", "models", "coldLeftMs", "seq")))
-    value = draw(st.sampled_from((*ODD_VALUES, "missing")) | PLAIN)
+    value = draw(st.sampled_from((*MALFORMED_VALUES, "missing")) | PLAIN)
     if value == "missing":
         spec.pop(field, None)
     else:
@@ -107,10 +106,10 @@
 
 
 TEXTS = (
-    st.sampled_from(ODD_TEXTS)
+    st.sampled_from(MALFORMED_TEXTS)
     | PLAIN.map(text_of)
-    | PLAIN.map(lambda spec: text_of(stored(BAD, 4, spec)))
-    | wrong_specs().map(lambda spec: text_of(stored(BAD, 4, spec)))
+    | PLAIN.map(lambda spec: text_of(stored(INVALID_NAME, 4, spec)))
+    | wrong_specs().map(lambda spec: text_of(stored(INVALID_NAME, 4, spec)))
     | st.binary(max_size=12)
     | st.binary(max_size=12).map(
         lambda raw: b'{"metadata":{"name":"d","revision":4},"spec":' + raw + b"}"
@@ -118,8 +117,8 @@
 )
 
 
-def answering(*bodies):
-    """A platform's store that gives these answers, one after the other."""
+def store_answering(*bodies):
+    """A platform store that returns these bodies in order, repeating the last."""
     store = PlatformStore("127.0.0.1:9")
     left = list(bodies)
     calls = []
@@ -148,8 +147,8 @@
     return b'{"deleted":%s,"object":%s}' % (deleted, text)
 
 
-def sound_texts():
-    return [text_of(stored(name, at, entry(name))) for at, name in enumerate(SOUND, start=1)]
+def valid_texts():
+    return [text_of(stored(name, at, entry(name))) for at, name in enumerate(VALID_NAMES, start=1)]
 
 
 def usable_address(address):
@@ -157,8 +156,8 @@
     return bool(host) and port.isdigit() and 0 < int(port) < 65_536
 
 
-def check_chosen(view):
-    """Nothing unusable is named to be used."""
+def check_workers_valid(view):
+    """Check that all workers offered for use are valid."""
     for worker in view.ready("app"):
         assert usable_address(worker.address), worker
         assert worker.entry.slots >= 1, worker
@@ -169,78 +168,80 @@
     return {worker.instance for worker in view.all()}
 
 
-@then("whatever stands in the place of one worker's entry, the others may get requests")
+@then("with any value in place of one worker's entry, the others stay available for requests")
 def then_list_holds(context):
-    held = {"read": 0, "failed": 0}
+    outcomes = {"read": 0, "failed": 0}
 
     @settings(max_examples=600)
     @given(text=TEXTS, place=st.integers(0, 3))
     def holds(text, place):
-        texts = sound_texts()
+        texts = valid_texts()
         texts.insert(place, text)
         view = WorkersView()
         view.apply_listing(
-            Listing(1, tuple(StoredRecord("servers", n, 1, entry(n)) for n in SOUND))
+            Listing(1, tuple(StoredRecord("servers", n, 1, entry(n)) for n in VALID_NAMES))
         )
-        store = ValidatingStore(answering(list_body(texts)), EntryValidator())
+        store = ValidatingStore(store_answering(list_body(texts)), EntryValidator())
         found = store.list_kind("servers")
-        held["read" if isinstance(found, Success) else "failed"] += 1
+        outcomes["read" if isinstance(found, Success) else "failed"] += 1
         if isinstance(found, Success):
             view.apply_listing(found.unwrap())
         else:
-            # The answer itself is broken off or torn: what was known holds.
+            # The response itself is malformed: the known entries stay.
             assert found.failure().kind is StoreErrorKind.UNKNOWN
             assert is_torn(text), text
-        assert set(SOUND) <= known(view), text
-        check_chosen(view)
+        assert set(VALID_NAMES) <= known(view), text
+        check_workers_valid(view)
 
     holds()
-    assert held["read"] > 5 * held["failed"], held
+    assert outcomes["read"] > 5 * outcomes["failed"], outcomes
 
 
 def is_torn(text):
-    """Whether a text's quotes or brackets reach beyond it."""
+    """Whether a text can break the syntax of the surrounding document."""
     return any(mark in text for mark in b'"[]{},\\')
 
 
 @then(
-    "whatever stands in the place of one change, the others are taken, and a list is asked for"
-    " where its name is lost"
+    "with any value in place of one change, the others are applied, and the kind is listed again"
+    " if its name is unknown"
 )
 def then_changes_hold(context):
     @settings(max_examples=600)
     @given(text=TEXTS, place=st.integers(0, 3), as_event=st.booleans())
     def holds(text, place, as_event):
-        texts = [event_text(each) for each in sound_texts()]
+        texts = [event_text(each) for each in valid_texts()]
         texts.insert(place, event_text(text) if as_event else text)
-        store = ValidatingStore(answering(events_body(texts)), EntryValidator())
+        store = ValidatingStore(store_answering(events_body(texts)), EntryValidator())
         found = store.watch("servers", 1, 1.0)
         if not isinstance(found, Success):
             assert is_torn(text), text
             return
         view = WorkersView()
-        good = StoredRecord("servers", BAD, 1, entry(BAD))
+        good = StoredRecord("servers", INVALID_NAME, 1, entry(INVALID_NAME))
         view.apply_listing(Listing(1, (good,)))
         changes = found.unwrap()
         for change in changes.changes:
             view.apply_change(change)
-        assert set(SOUND) <= known(view), text
-        check_chosen(view)
-        told = {change.record.name for change in changes.changes}
-        # Either it is told what became of the entry, or a list is wanted.
-        assert BAD in told or not changes.is_complete or len(told) > len(SOUND), text
+        assert set(VALID_NAMES) <= known(view), text
+        check_workers_valid(view)
+        reported = {change.record.name for change in changes.changes}
+        # Either the change of the entry is reported, or a list is needed.
+        assert (
+            INVALID_NAME in reported or not changes.is_complete or len(reported) > len(VALID_NAMES)
+        ), text
 
     holds()
-    deletion = event_text(text_of(stored(BAD, 4, {"slots": 0})), b"true")
-    changes = answering(events_body([deletion])).watch("servers", 1, 1.0).unwrap()
-    assert [(one.record.name, one.deleted) for one in changes.changes] == [(BAD, True)]
-    assert changes.unreadable == (), "the end of a bad entry is read"
+    deletion = event_text(text_of(stored(INVALID_NAME, 4, {"slots": 0})), b"true")
+    changes = store_answering(events_body([deletion])).watch("servers", 1, 1.0).unwrap()
+    assert [(one.record.name, one.deleted) for one in changes.changes] == [(INVALID_NAME, True)]
+    assert changes.unreadable == (), "the deletion of an invalid entry was not read"
     check_lists_again()
 
 
 def check_lists_again():
-    """A change whose name is lost makes the follower list."""
-    store = answering(list_body(sound_texts()), events_body([event_text(b"null")], at=10))
+    """A change with an unknown name makes the follower list again."""
+    store = store_answering(list_body(valid_texts()), events_body([event_text(b"null")], at=10))
     follower = KindFollower(store, "servers", lambda _: None, lambda _: None)
     stopping = SimpleNamespace(wait=lambda _s: False, is_set=lambda: False)
     for _ in range(3):
@@ -248,36 +249,39 @@
     assert ["watch=" in path for path in store.calls_made] == [False, True, False], store.calls_made
 
 
-@then("whatever a peer tells in the place of one record, the others are taken")
+@then("with any value in place of one record sent by a peer, the others are applied")
 def then_news_hold(context):
-    told = PLAIN | wrong_specs().map(
-        lambda spec: {"kind": "servers", "name": BAD, "revision": 4, "spec": spec}
+    reported = PLAIN | wrong_specs().map(
+        lambda spec: {"kind": "servers", "name": INVALID_NAME, "revision": 4, "spec": spec}
     )
 
     @settings(max_examples=300)
-    @given(bad=told, is_whole=st.booleans(), place=st.integers(0, 3))
+    @given(bad=reported, is_whole=st.booleans(), place=st.integers(0, 3))
     def holds(bad, is_whole, place):
         records = [
-            {"kind": "servers", "name": name, "revision": 5, "spec": entry(name)} for name in SOUND
+            {"kind": "servers", "name": name, "revision": 5, "spec": entry(name)}
+            for name in VALID_NAMES
         ]
         records.insert(place, bad)
         plain = {"kind": "servers", "base": None if is_whole else 3, "revision": 9}
         plain |= {"records": records, "gone": [], "age_s": 0.0}
         view = WorkersView()
         state = KindState("servers", view.apply_listing, view.apply_change)
-        state.apply_listing(Listing(3, (StoredRecord("servers", BAD, 2, entry(BAD)),)), 0.0)
+        state.apply_listing(
+            Listing(3, (StoredRecord("servers", INVALID_NAME, 2, entry(INVALID_NAME)),)), 0.0
+        )
         news = msgspec.convert(plain, KindUpdate)
         assert state.apply_update(news, 1.0)
-        assert set(SOUND) <= known(view), bad
-        check_chosen(view)
-        # What it tells on has none that nobody can use.
+        assert set(VALID_NAMES) <= known(view), bad
+        check_workers_valid(view)
+        # It forwards no invalid record.
         for record in state.update_since(None, 1.0).records:
             assert invalid_reason(record) is None, record
 
     holds()
 
 
-SOUND_SPECS = {
+VALID_SPECS = {
     "servers": entry("x"),
     "versions": {"model": "m", "version": 3},
     "retirements": {"durationS": 10},
@@ -307,9 +311,9 @@
 }
 
 
-@then("entries with a field missing, of another type or out of range are not used, of any kind")
+@then("entries of any kind with a missing, mistyped or out-of-range field are rejected")
 def then_kinds(context):
-    for kind, sound in SOUND_SPECS.items():
+    for kind, sound in VALID_SPECS.items():
         assert invalid_reason(StoredRecord(kind, "x", 1, sound)) is None, kind
         for spec in (None, 7, "x", [sound], nested(400)):
             assert invalid_reason(StoredRecord(kind, "x", 1, spec)), (kind, spec)
@@ -334,21 +338,21 @@
     return value
 
 
-@then("all pages of a list are read whichever entries can't be read")
+@then("all pages of a list are read even if entries can't be read")
 def then_pages(context):
-    first, second, third = sound_texts()
+    first, second, third = valid_texts()
     named = text_of(stored("b", 4, {})).replace(b"{}", b'"\xff"')
     for bad, after in ((named, "b"), (b"null", "a"), (b'"\\ud800"', "a")):
-        store = answering(list_body([first, bad], more=True), list_body([second, third]))
+        store = store_answering(list_body([first, bad], more=True), list_body([second, third]))
         listing = store.list_kind("servers").unwrap()
-        assert [record.name for record in listing.records] == list(SOUND)
+        assert [record.name for record in listing.records] == list(VALID_NAMES)
         assert [one.name for one in listing.unreadable] == ["b" if after == "b" else None]
         assert f"after={after}" in store.calls_made[1], store.calls_made
-    # Without a name to go on, the list is not whole: nothing may be taken for absent.
-    store = answering(list_body([b"null", b"7"], more=True))
+    # Without a name to continue after, the list is incomplete: nothing may be treated as absent.
+    store = store_answering(list_body([b"null", b"7"], more=True))
     assert isinstance(store.list_kind("servers"), Failure)
     again = list_body([first, b"null"], more=True)
-    assert isinstance(answering(again, again, again).list_kind("servers"), Failure)
+    assert isinstance(store_answering(again, again, again).list_kind("servers"), Failure)
 
 
 @when('another writer replaces the entry of "{instance}"')
@@ -356,7 +360,7 @@
     context.store.records.put("servers", instance, {"service": "app", "slots": "many"})
 
 
-@then("a bad entry is logged once for each revision without its contents, and counted")
+@then("an invalid entry is logged once per revision without its contents, and counted")
 def then_logged(context):
     secret = "key-of-a-tenant"
     bad = [
@@ -367,7 +371,7 @@
     entries = EntryValidator()
     metrics = RequestMetrics()
     metrics.add_unreadable_entries(entries)
-    store = ValidatingStore(answering(list_body([*sound_texts(), *bad])), entries)
+    store = ValidatingStore(store_answering(list_body([*valid_texts(), *bad])), entries)
     with capture_logs() as logs:
         for _ in range(3):
             store.list_kind("servers").unwrap()
@@ -379,7 +383,7 @@
     assert {line["revision"] for line in lines} == {4, 5, None}
     assert secret not in repr(logs), logs
     assert b'bellweir_entries_unreadable_total{kind="servers"} 3.0' in metrics.render()
-    store = ValidatingStore(answering(list_body([bad[0].replace(b": 4}", b": 6}")])), entries)
+    store = ValidatingStore(store_answering(list_body([bad[0].replace(b": 4}", b": 6}")])), entries)
     with capture_logs() as logs:
         store.list_kind("servers").unwrap()
     assert [line["revision"] for line in logs] == [6], logs
@@ -400,7 +404,7 @@
     return view
 
 
-@then("a configuration that can't be read never replaces the one in force")
+@then("an invalid configuration never replaces the one in effect")
 def then_configuration_holds(context):
     view = view_with(configuration(3))
     unreadable = (
@@ -430,7 +434,7 @@
     assert view.table().version == 4
 
 
-@then("a route that can't be read keeps its former terms or is closed, never another's")
+@then("an invalid route keeps its former settings or is closed, and never gets those of another")
 def then_routes(context):
     former = (route("/", "other"), route("/a/", timeoutMs=700, maxAttempts=3))
     cases = (
@@ -455,7 +459,7 @@
         assert not table.is_closed("h.example", "/b")
         part = next(line for line in logs if line["event"] == "configuration_part_unreadable")
         assert part["instead"] == ("former" if service else "closed"), part
-        # It stays so while it can't be read, and ends with words that can.
+        # This holds while the route is invalid, and ends with the next valid configuration.
         view.apply(routes_of(5, route("/", "other"), bad), "test")
         found = view.table().find("h.example", "/a/x")
         assert (found.service if found else None) == service, bad
@@ -463,7 +467,7 @@
         assert view.table().find("h.example", "/a/x").service == "other"
 
 
-@then("a tenant, a service and limits that can't be read keep what they were")
+@then("an invalid tenant, service or limits entry keeps its former value")
 def then_parts(context):
     tenants = [{"name": "t", "apiKeys": ["k"]}, {"name": "u", "apiKeys": ["l"]}]
     services = [{"name": "app", "healthPath": "/up", "maxConns": 5}]
@@ -487,14 +491,12 @@
     assert [each.name for each in table.configuration.tenants] == ["t", "u"]
 
 
-@then(
-    "whatever stands in the place of one route, the others serve and nobody else serves its paths"
-)
+@then("with any value in place of one route, the others serve and no other route serves its paths")
 def then_any_part(context):
     @settings(max_examples=400)
     @given(
         field=st.sampled_from(("timeoutMs", "service", "backends", "kind", "maxAttempts", "name")),
-        value=st.sampled_from(ODD_VALUES) | PLAIN,
+        value=st.sampled_from(MALFORMED_VALUES) | PLAIN,
         is_known=st.booleans(),
     )
     def holds(field, value, is_known):
@@ -513,7 +515,7 @@
     holds()
 
 
-@given_step("a gateway before workers of its service")
+@given_step("a gateway with workers of its service")
 def given_gateway(context):
     worker = WorkerStandIn("i-a")
     context.cleanup.callback(worker.close)
@@ -521,7 +523,7 @@
     context.cleanup.callback(context.gateway.close)
 
 
-@when('a configuration comes in which the route "{prefix}" can\'t be read')
+@when('a configuration arrives in which the route "{prefix}" is invalid')
 def when_route_bad(context, prefix):
     spec = gateway_configuration(2)
     for each in spec["routes"]:
@@ -539,7 +541,7 @@
     assert context.gateway.send(f"{open_}x").status == 200
 
 
-@then("a lease that can't be read is taken only when its holder's time is over")
+@then("an unreadable lease is acquired only after its holder's term has expired")
 def then_lease(context):
     acted = {"handovers": 0, "garbled": 0}
 
@@ -563,7 +565,7 @@
             machines.turn()
         machines.check()
         holders = [number for _, _, number, _ in machines.acts]
-        assert holders, "nobody acts any more"
+        assert holders, "no machine acts any more"
         acted["handovers"] += sum(a != b for a, b in pairwise(holders))
 
     separate()
--- a/features/steps/hosted_mixed_steps.py
+++ b/features/steps/hosted_mixed_steps.py
@@ -1,4 +1,4 @@
-"""Two builds side by side, as processes."""
+"""Compatibility of two builds that run side by side as processes."""
 
 import base64
 import importlib
@@ -28,12 +28,12 @@
 from bellweir_rehearsal.hosted.soak_faults import BUILD_FAULTS
 
 OLDER_COMMIT = "e33d2c1"
-"""The build that was in service before messages had levels."""
+"""The last build before messages had levels."""
 RECORDED = REPOSITORY / "features" / "recorded" / f"build-{OLDER_COMMIT}.json"
-"""What that build wrote; `record_build` says how it was made."""
+"""Data written by that build, recorded with `record_build`."""
 
 
-@given("the build that was in service before")
+@given("the previous build")
 def given_older(context):
     if not is_in_history(OLDER_COMMIT):
         context.scenario.skip(f"{OLDER_COMMIT} is not in this clone's history")
@@ -47,7 +47,7 @@
     assert context.older.code_in_use(environment) == context.older.code
 
 
-@when("the day is played on which this build takes its place")
+@when("the day is played on which this build replaces it")
 def when_played(context):
     context.told = []
     context.day = MixedDay(context.folder, context.older, context.told.append)
@@ -65,7 +65,7 @@
     return zlib.decompress(base64.b64decode(text))
 
 
-@given("what the older build has left, as it was recorded")
+@given("the recorded data of the older build")
 def given_recorded(context):
     context.recorded = json.loads(RECORDED.read_text(encoding="utf-8"))
     assert context.recorded["commit"] == OLDER_COMMIT
@@ -81,7 +81,7 @@
         plain = decode_struct(unpacked(packed), OneWay).body
         message = codec.from_plain(plain)
         assert type(message).__name__ == name
-        # What is written again holds every field that the older build asks for, as it was.
+        # The re-encoded frame holds every field that the older build requires, unchanged.
         again = decode_struct(encode_struct(OneWay(0, codec.to_plain(message))), OneWay).body
         assert holds(again, plain), (name, plain, again)
     hello = decode_struct(unpacked(context.recorded["client_hello"]), ClientHello)
@@ -90,17 +90,17 @@
     assert (answer.node, answer.level) == ("node", FIRST_LEVEL)
 
 
-@then("what it does not know is of a later level")
+@then("message and command types unknown to it have a later level")
 def then_levels(context):
     for base, recorded in ((Message, "frames"), (Command, "commands")):
         for name, added in leaves(base).items():
             is_known = name in context.recorded[recorded]
             if added.__module__.startswith("bellweir.hosted.") and not is_known:
-                assert added.since_level > FIRST_LEVEL, f"{name} says no since_level"
+                assert added.since_level > FIRST_LEVEL, f"{name} has no since_level"
 
 
 def holds(new, old):
-    """Whether a value has all that an older one has, and at the same places."""
+    """Whether a value contains everything of an older one, at the same positions."""
     if isinstance(old, dict):
         return isinstance(new, dict) and all(
             key in new and holds(new[key], value) for key, value in old.items()
@@ -112,7 +112,7 @@
     return new == old
 
 
-@then("its log entries, its journal file and its snapshot give the state that it had")
+@then("its log entries, journal file and snapshot restore its state")
 def then_state(context):
     recorded = context.recorded
     folder = Path(context.folder) / "ledger"
--- a/features/steps/hosted_store_calls_steps.py
+++ b/features/steps/hosted_store_calls_steps.py
@@ -1,4 +1,4 @@
-"""Counted calls to the platform's store, against its stand-in."""
+"""Counting of calls to the platform's store, tested against its stand-in."""
 
 from behave import given, then, when
 from returns.result import Success
@@ -9,7 +9,7 @@
 from bellweir_rehearsal.hosted.object_store import Outage, PlatformStoreStandIn
 
 
-@given("a counted store before a stand-in of the platform's store")
+@given("a counting store in front of a stand-in of the platform's store")
 def given_counted(context):
     context.stand_in = PlatformStoreStandIn()
     context.cleanup.callback(context.stand_in.close)
@@ -50,7 +50,7 @@
 }
 
 
-@then("each sort and outcome has its count")
+@then("each call type and outcome has its count")
 def then_counted(context):
     assert context.store.counts.all() == EXPECTED, context.store.counts.all()
     shown = context.metrics.render().decode()
@@ -59,7 +59,7 @@
         assert f"bellweir_store_calls_total{labels} {float(count)}" in shown, shown
 
 
-@then("a line tells them once")
+@then("a log line reports them once")
 def then_told(context):
     told = context.store.counts.take_increments()
     assert told == {"/".join(key): count for key, count in EXPECTED.items()}
--- a/features/steps/hosted_whole_steps.py
+++ b/features/steps/hosted_whole_steps.py
@@ -30,7 +30,7 @@
 def then_metrics(context):
     page = (context.repository / "docs" / "METRICS.md").read_text(encoding="utf-8")
     rows = METRIC_ROW.findall(page)
-    assert rows, "the page lists nothing"
+    assert rows, "docs/METRICS.md lists no metrics"
     for role in ("gateway", "store"):
         machine = context.day.deployment.running(role)[0]
         address = context.day.deployment.address(machine, "metrics")
@@ -44,7 +44,7 @@
 def then_explained(context):
     files = [machine.log_file for machine in context.day.deployment.machines.values()]
     lines = read_lines([file.read_text(encoding="utf-8").splitlines() for file in files])
-    # Of the calm step: a process that is killed loses the lines of its last instant.
+    # From the step without faults: a killed process loses its last log lines.
     step = context.day.trainer.steps[0]
     job = story_of(step.job_id, lines).sentence
     assert "was accepted on gateway-" in job
@@ -56,7 +56,7 @@
     assert f"Request {request_id} was answered with status 200" in (
         story_of(request_id, lines).sentence
     )
-    # It also names the processes that were killed in the day, and only those.
+    # It also names exactly the processes that were killed.
     nothing = story_of("nothing", lines).sentence
     assert nothing.startswith("No line tells of nothing. Processes that ended without a word")
     assert "gateway-0 (started again at" in nothing
--- a/src/bellweir/hosted/__main__.py
+++ b/src/bellweir/hosted/__main__.py
@@ -1,4 +1,4 @@
-"""Runs a hosted process: `python -m bellweir.hosted`, settings by `BELLWEIR_CONFIG`."""
+"""Entry point `python -m bellweir.hosted`; `BELLWEIR_CONFIG` names the settings file."""
 
 import os
 import signal
@@ -10,8 +10,8 @@
 
 
 if __name__ == "__main__":
-    # Before the imports and the services' start, which take some tens of milliseconds: a change of
-    # the settings would end the process, a planned stop would look like a failure.
+    # Set before the slow imports and the start of the services: by default SIGHUP (new settings)
+    # would kill the process, and SIGTERM (planned stop) would look like a failure.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, _end)
     from bellweir.hosted.process import main
--- a/src/bellweir/hosted/entries.py
+++ b/src/bellweir/hosted/entries.py
@@ -1,8 +1,7 @@
-"""Entries of the store that other writers may have made: each is read by itself.
+"""Validation of single store entries, which other writers may have made.
 
-One that can't be read, or that does not say what its kind must say, counts as absent, also where it
-takes the place of a good one. It is logged once for each revision, with its kind, its name and the
-cause, and counted; its contents are never logged, since they may hold keys.
+An invalid entry counts as absent, even if it replaces a valid one. It is counted, and logged once
+per revision without its contents, which may hold keys.
 
 >>> sound = {"service": "s", "address": "h:1", "zone": "z", "slots": 2, "state": "ready"}
 >>> invalid_reason(StoredRecord("servers", "a", 5, sound)) is None
@@ -30,106 +29,106 @@
 from bellweir.hosted.log_events import ENTRY_UNREADABLE
 from bellweir.hosted.records import NamedVersion, WorkerEntry, WorkerModel, WorkerState
 
-DEEPEST_NESTING = 32
-"""Lists and maps within each other beyond which an entry is not looked at; real ones have six."""
-REMEMBERED_ENTRIES = 1_024
-"""Bad entries whose last logged revision is remembered; of more, one may be logged again."""
-LONGEST_NAME_LOGGED = 128
-SIMPLE_TYPES = frozenset({str, int, float, bool})
-"""Types of values that hold no others, passed over without a call for each."""
-HIGHEST_PORT = 65_535
+MAX_NESTING_DEPTH = 32
+"""Entries with deeper nesting are rejected before recursion becomes a risk."""
+MAX_LOGGED_ENTRIES = 1_024
+"""Entries whose last logged revision is kept; beyond it the least recent is logged again."""
+MAX_LOGGED_NAME_LENGTH = 128
+SCALAR_TYPES = frozenset({str, int, float, bool})
+"""Types that need no recursive call."""
+MAX_PORT = 65_535
 
-Word = Annotated[str, msgspec.Meta(min_length=1)]
-Count = Annotated[int, msgspec.Meta(ge=0)]
-Amount = Annotated[float, msgspec.Meta(ge=0)]
+NonEmptyStr = Annotated[str, msgspec.Meta(min_length=1)]
+NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
+NonNegativeFloat = Annotated[float, msgspec.Meta(ge=0)]
 
 
 class InvalidEntryError(ValueError):
-    """An entry that does not say what its kind must say; the text is the cause, without values."""
+    """An entry that is invalid for its kind; the message holds no values of it."""
 
 
-class _ToldWorker(msgspec.Struct, rename="camel"):
-    """Everything that a worker tells of itself, used here or not: one wrong field spoils all."""
+class _WorkerSpec(msgspec.Struct, rename="camel"):
+    """All fields of a worker's entry, also unused ones: any invalid field rejects the entry."""
 
-    service: Word
+    service: NonEmptyStr
     address: str
     zone: str
     slots: Annotated[int, msgspec.Meta(ge=1)]
     state: WorkerState
     version: str = ""
-    cold_left_ms: Amount = 0.0
-    seq: Count = 0
-    born: Count = 0
+    cold_left_ms: NonNegativeFloat = 0.0
+    seq: NonNegativeInt = 0
+    born: NonNegativeInt = 0
     stage: str = ""
     models: tuple[WorkerModel, ...] = ()
 
 
-class _ToldVersion(msgspec.Struct):
-    model: Word
+class _VersionSpec(msgspec.Struct):
+    model: NonEmptyStr
     version: Annotated[int, msgspec.Meta(ge=1)]
 
 
-class _ToldRetirement(msgspec.Struct, rename="camel"):
-    duration_s: Amount
+class _RetirementSpec(msgspec.Struct, rename="camel"):
+    duration_s: NonNegativeFloat
 
 
-class _ToldNode(msgspec.Struct, rename="camel"):
+class _NodeSpec(msgspec.Struct, rename="camel"):
     peer_address: str
     zone: str
 
 
-class _ToldPlacement(msgspec.Struct):
-    kind: Word
+class _PlacementSpec(msgspec.Struct):
+    kind: NonEmptyStr
     metadata: dict[str, Any]
     spec: dict[str, Any]
 
 
-class _ToldLease(msgspec.Struct):
+class _LeaseSpec(msgspec.Struct):
     holder: str
     count: int
     idle_s: float = 0.0
-    wait_s: Amount = 0.0
+    wait_s: NonNegativeFloat = 0.0
     prolongs: int = 0
 
 
 def worker_entry(spec: Any) -> WorkerEntry:
-    """Return a worker's own entry. Raises `InvalidEntryError`.
+    """Parse a worker's entry. Raises `InvalidEntryError`.
 
     >>> worker_entry({"service": "s", "address": "h", "zone": "z", "slots": 1, "state": "ready"})
     Traceback (most recent call last):
     ...
-    bellweir.hosted.entries.InvalidEntryError: an address that is not HOST:PORT
+    bellweir.hosted.entries.InvalidEntryError: address is not HOST:PORT
     """
-    told = _converted(plain_values(spec), _ToldWorker)
-    check_address(told.address)
+    parsed = _convert(plain_values(spec), _WorkerSpec)
+    check_address(parsed.address)
     return WorkerEntry(
-        service=told.service,
-        address=told.address,
-        zone=told.zone,
-        slots=told.slots,
-        state=told.state,
-        born=told.born,
-        models=told.models,
+        service=parsed.service,
+        address=parsed.address,
+        zone=parsed.zone,
+        slots=parsed.slots,
+        state=parsed.state,
+        born=parsed.born,
+        models=parsed.models,
     )
 
 
 def named_version(spec: Any) -> NamedVersion:
-    """Return a named version of weights. Raises `InvalidEntryError`."""
-    told = _converted(plain_values(spec), _ToldVersion)
-    return NamedVersion(told.model, told.version)
+    """Parse a published weight version. Raises `InvalidEntryError`."""
+    parsed = _convert(plain_values(spec), _VersionSpec)
+    return NamedVersion(parsed.model, parsed.version)
 
 
 def check_address(address: str) -> None:
-    """Check that something can be connected to. Raises `InvalidEntryError`."""
+    """Check that an address has the form HOST:PORT. Raises `InvalidEntryError`."""
     host, _, port = address.rpartition(":")
-    is_host = host != "" and host.isprintable() and not any(mark in host for mark in " /@")
-    is_port = port.isascii() and port.isdigit() and 0 < int(port[:6]) <= HIGHEST_PORT
-    if not is_host or not is_port:
-        raise InvalidEntryError("an address that is not HOST:PORT")
+    is_valid_host = host != "" and host.isprintable() and not any(char in host for char in " /@")
+    is_valid_port = port.isascii() and port.isdigit() and 0 < int(port[:6]) <= MAX_PORT
+    if not is_valid_host or not is_valid_port:
+        raise InvalidEntryError("address is not HOST:PORT")
 
 
 def _check_node(spec: Any) -> None:
-    check_address(_converted(plain_values(spec), _ToldNode).peer_address)
+    check_address(_convert(plain_values(spec), _NodeSpec).peer_address)
 
 
 def _check_plain(spec: Any) -> None:
@@ -140,17 +139,17 @@
 CHECKS: dict[str, Callable[[Any], object]] = {
     RecordKind.WORKERS: worker_entry,
     RecordKind.VERSIONS: named_version,
-    RecordKind.RETIREMENTS: lambda spec: _converted(plain_values(spec), _ToldRetirement),
+    RecordKind.RETIREMENTS: lambda spec: _convert(plain_values(spec), _RetirementSpec),
     RecordKind.NODES: _check_node,
-    RecordKind.LEDGERS: lambda spec: _converted(plain_values(spec), _ToldPlacement),
-    RecordKind.LEASES: lambda spec: _converted(plain_values(spec), _ToldLease),
+    RecordKind.LEDGERS: lambda spec: _convert(plain_values(spec), _PlacementSpec),
+    RecordKind.LEASES: lambda spec: _convert(plain_values(spec), _LeaseSpec),
     RecordKind.CONFIGURATION: _check_plain,
 }
-"""What must hold of an entry, by kind. Parts of a configuration are looked at one by one later."""
+"""Validators by kind. The parts of a configuration are validated one by one later."""
 
 
 def invalid_reason(record: StoredRecord) -> str | None:
-    """Return why nothing of a record may be used; None for a usable one."""
+    """Return why a record is invalid; None for a valid one."""
     check = CHECKS.get(record.kind, lambda _spec: None)
     try:
         check(record.spec)
@@ -160,50 +159,50 @@
 
 
 class EntryValidator:
-    """Sorts out what can't be used, and keeps count. Safe for threads."""
+    """Drops, logs and counts invalid entries. Thread-safe."""
 
-    __slots__ = ("_counts", "_lock", "_noted")
+    __slots__ = ("_counts", "_lock", "_logged_revisions")
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._counts: Counter[str] = Counter()
-        self._noted: OrderedDict[tuple[str, str], int | str] = OrderedDict()
+        self._logged_revisions: OrderedDict[tuple[str, str], int | str] = OrderedDict()
 
     def counts(self) -> dict[str, int]:
-        """Revisions of entries that could not be used since the start, by kind."""
+        """Number of invalid entry revisions since the start, by kind."""
         with self._lock:
             return dict(self._counts)
 
     def count(self, kind: str) -> None:
-        """Count what could not be used and is logged elsewhere."""
+        """Count an invalid entry that is logged elsewhere."""
         with self._lock:
             self._counts[kind] += 1
 
     def validate_listing(self, listing: Listing) -> Listing:
-        """Return a list without the entries that can't be used."""
-        bad = {
+        """Return a listing whose invalid entries are moved to `unreadable`."""
+        invalid = {
             record.name: cause for record in listing.records if (cause := invalid_reason(record))
         }
-        if not bad and not listing.unreadable:
+        if not invalid and not listing.unreadable:
             return listing
-        records = tuple(record for record in listing.records if record.name not in bad)
+        records = tuple(record for record in listing.records if record.name not in invalid)
         found = tuple(
-            UnreadableRecord(record.kind, record.name, record.revision, bad[record.name])
+            UnreadableRecord(record.kind, record.name, record.revision, invalid[record.name])
             for record in listing.records
-            if record.name in bad
+            if record.name in invalid
         )
         unreadable = (*listing.unreadable, *found)
         self.log_invalid_entries(unreadable)
         return Listing(listing.revision, records, unreadable)
 
     def validate_changes(self, changes: Changes) -> Changes:
-        """Return changes in which entries that can't be used are gone."""
+        """Return changes in which invalid entries appear as deleted."""
         self.log_invalid_entries(changes.unreadable)
-        checked = tuple(self._checked_change(change) for change in changes.changes)
-        return Changes(changes.revision, checked, changes.unreadable)
+        validated = tuple(self._validate_change(change) for change in changes.changes)
+        return Changes(changes.revision, validated, changes.unreadable)
 
     def is_usable(self, record: StoredRecord) -> bool:
-        """Whether a record may be used; one that may not is logged and counted."""
+        """Whether a record is valid; an invalid one is logged and counted."""
         cause = invalid_reason(record)
         if cause is not None:
             self.log_invalid_entry(
@@ -212,21 +211,21 @@
         return cause is None
 
     def log_invalid_entries(self, found: tuple[UnreadableRecord, ...]) -> None:
-        """Log and count what can't be read."""
+        """Log and count several invalid entries."""
         for each in found:
             self.log_invalid_entry(each)
 
     def log_invalid_entry(self, found: UnreadableRecord) -> None:
-        """Log and count an entry, once for each of its revisions."""
-        mark = found.revision if found.revision is not None else found.digest
+        """Log and count an invalid entry, once per revision."""
+        version = found.revision if found.revision is not None else found.digest
         key = (found.kind, found.name if found.name is not None else found.digest)
         with self._lock:
-            if self._noted.get(key) == mark:
+            if self._logged_revisions.get(key) == version:
                 return
-            self._noted[key] = mark
-            self._noted.move_to_end(key)
-            if len(self._noted) > REMEMBERED_ENTRIES:
-                self._noted.popitem(last=False)
+            self._logged_revisions[key] = version
+            self._logged_revisions.move_to_end(key)
+            if len(self._logged_revisions) > MAX_LOGGED_ENTRIES:
+                self._logged_revisions.popitem(last=False)
             self._counts[found.kind] += 1
         emit(
             ENTRY_UNREADABLE,
@@ -236,7 +235,7 @@
             cause=found.cause,
         )
 
-    def _checked_change(self, change: RecordChange) -> RecordChange:
+    def _validate_change(self, change: RecordChange) -> RecordChange:
         if change.deleted or self.is_usable(change.record):
             return change
         return RecordChange(change.record, deleted=True)
@@ -245,20 +244,20 @@
 def _loggable(name: str | None) -> str | None:
     if name is None:
         return None
-    return name[:LONGEST_NAME_LOGGED].encode("ascii", "backslashreplace").decode()
+    return name[:MAX_LOGGED_NAME_LENGTH].encode("ascii", "backslashreplace").decode()
 
 
 def plain_values(spec: Any, depth: int = 0) -> Any:
-    """Return plain values without nulls. Raises `InvalidEntryError` for deep ones.
+    """Return decoded JSON without null members. Raises `InvalidEntryError` if nested too deeply.
 
     >>> plain_values({"a": None, "b": [1, {"c": None}]})
     {'b': [1, {}]}
     """
-    if depth > DEEPEST_NESTING:
-        raise InvalidEntryError("nested too deep")
+    if depth > MAX_NESTING_DEPTH:
+        raise InvalidEntryError("nested too deeply")
     if isinstance(spec, dict):
         return {
-            key: value if type(value) in SIMPLE_TYPES else plain_values(value, depth + 1)
+            key: value if type(value) in SCALAR_TYPES else plain_values(value, depth + 1)
             for key, value in spec.items()
             if value is not None
         }
@@ -267,20 +266,20 @@
     return spec
 
 
-def _converted(plain: Any, into: Any) -> Any:
+def _convert(value: Any, into: Any) -> Any:
     try:
-        return msgspec.convert(plain, into)
+        return msgspec.convert(value, into)
     except msgspec.ValidationError as failure:
         raise InvalidEntryError(validation_message(failure)) from None
 
 
 def validation_message(failure: msgspec.ValidationError) -> str:
-    """Return what a check found, without the value that it found.
+    """Return the message of a validation error without the invalid value.
 
     >>> validation_message(msgspec.ValidationError("Invalid enum value 'secret' - at `$.state`"))
-    'a word that is not known - at `$.state`'
+    'unknown enum value - at `$.state`'
     """
     text = str(failure)
     if not text.startswith("Invalid enum value"):
         return text
-    return "a word that is not known - at " + text.rpartition(" - at ")[2]
+    return "unknown enum value - at " + text.rpartition(" - at ")[2]
--- a/src/bellweir/hosted/event_stream.py
+++ b/src/bellweir/hosted/event_stream.py
@@ -1,4 +1,4 @@
-"""Splits a worker's `text/event-stream` into whole events, byte for byte."""
+"""Splits a worker's `text/event-stream` into complete events, preserving their bytes."""
 
 import re
 from dataclasses import dataclass
@@ -8,24 +8,24 @@
 
 
 class EventTooLongError(ValueError):
-    """An event that does not end."""
+    """An event that exceeds `MAX_EVENT_BYTES`."""
 
 
 @dataclass(frozen=True)
 class StreamEvent:
-    """One whole event."""
+    """One complete event."""
 
     raw: bytes
-    """All of its bytes, the empty line at its end included."""
+    """All of its bytes, including the terminating empty line."""
     event_id: int | None
     data: bytes
     """Its data lines, joined by line feeds."""
     weight_version: int | None
-    """The version that it says the weights have changed to."""
+    """The new weight version that the event announces, if any."""
 
 
 class EventSplitter:
-    """Collects bytes until events are whole."""
+    """Incremental parser of an event stream."""
 
     def __init__(self, version_field: str) -> None:
         self._version_field = version_field.lower().encode()
@@ -33,11 +33,11 @@
 
     @property
     def is_between_events(self) -> bool:
-        """Whether no part of an event waits for its end."""
+        """Whether no incomplete event is buffered."""
         return not self._pending.strip()
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Take bytes; return the events that are whole now. Raises `EventTooLongError`."""
+        """Add bytes; return the events completed by them. Raises `EventTooLongError`."""
         pending = self._pending + data
         events: list[StreamEvent] = []
         start = 0
@@ -46,7 +46,7 @@
             start = end.end()
         self._pending = pending[start:]
         if len(self._pending) > MAX_EVENT_BYTES:
-            raise EventTooLongError(f"an event of more than {MAX_EVENT_BYTES} bytes")
+            raise EventTooLongError(f"event exceeds {MAX_EVENT_BYTES} bytes")
         return events
 
     def _parse(self, raw: bytes) -> StreamEvent:
@@ -59,12 +59,12 @@
             if name == b"data":
                 data.append(value)
             elif name == b"id":
-                event_id = _whole_number(value)
+                event_id = _parse_int(value)
             elif name.lower() == self._version_field:
-                version = _whole_number(value)
+                version = _parse_int(value)
         return StreamEvent(raw, event_id, b"\n".join(data), version)
 
 
-def _whole_number(value: bytes) -> int | None:
+def _parse_int(value: bytes) -> int | None:
     text = value.strip()
     return int(text) if text.isdigit() else None
--- a/src/bellweir/hosted/incarnation.py
+++ b/src/bellweir/hosted/incarnation.py
@@ -1,8 +1,7 @@
-"""One start of a worker.
+"""Incarnation of a worker: its instance id and the time of its start.
 
-A worker may start again under the id that it had. It then holds nothing and knows nothing of
-before, so whatever is kept of a worker is kept by its incarnation: the id and the time of the
-start. A worker that does not tell its start has one incarnation for its whole id.
+A worker that restarts under its former id has lost its state, so state about workers is keyed by
+incarnation. A worker that reports no start time has a single incarnation.
 
 >>> Incarnation("i-1", 1_700_000_000_000) == Incarnation("i-1", 1_700_000_009_000)
 False
@@ -15,13 +14,13 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Incarnation:
-    """A worker's id and the Unix millisecond of its start; 0 where the worker tells none."""
+    """A worker's id and its start time in Unix milliseconds; 0 if unknown."""
 
     instance: str
     born_ms: int = 0
 
     def matches_start(self, born_ms: int) -> bool:
-        """Whether something that tells a worker's start is about this one; 0: it tells none.
+        """Whether a reported start time is compatible with this one; 0 (unknown) always is.
 
         >>> [Incarnation("i-1", 7).matches_start(born_ms) for born_ms in (7, 9, 0)]
         [True, False, True]
--- a/src/bellweir/hosted/interface.py
+++ b/src/bellweir/hosted/interface.py
@@ -1,7 +1,4 @@
-"""What the hosting platform offers, as typed values and abstract classes.
-
-The adapter implements these; everything else of `bellweir.hosted` uses only them.
-"""
+"""Types and abstract classes of the hosting platform, which an adapter implements."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -21,100 +18,100 @@
     deadline_ms: str
     expect_instance: str
     not_executed: str
-    """On a worker's answer: the request was not run."""
+    """On a worker's response: the request was not run."""
     stamp: str
-    """A worker's signature of its answer."""
+    """A worker's signature of its response."""
     last_event_id: str
     wait_ms: str
-    """Longest time in milliseconds for which a call may be held."""
+    """Maximum time in milliseconds for which a call may be held open."""
     weight_versions: str
-    """On a worker's answer, and in lower case on an event: the version of the weights."""
+    """On a worker's response, and in lower case on an event: the version of the weights."""
     length_hint: str
-    """On a request: tokens that its caller guesses the answer to have."""
+    """On a request: the caller's estimate of the response length in tokens."""
     tenant: str
-    """On a request to a worker: the tenant whose key the client carried."""
+    """On a request to a worker: the tenant to which the client's key belongs."""
     urgency: str
-    """On a request to a worker: 0 to 9, the most urgent first; 5 without it."""
+    """On a request to a worker: 0 (most urgent) to 9; default 5."""
     authorization: str
-    """On a client's request: its key. Never sent to a worker of a deployment with tenants."""
+    """On a client's request: its key. Not forwarded to workers if tenants are configured."""
     server_load: str
-    """On a worker's answer: requests running, waiting, slots, and how long work takes there now."""
+    """On a worker's response: running and waiting requests, slots and current service times."""
 
     @property
     def client_only(self) -> frozenset[str]:
-        """Lower-case names of headers that end here where a deployment has tenants."""
+        """Lower-case names of headers that are not forwarded if tenants are configured."""
         return frozenset({self.tenant.lower(), self.authorization.lower()})
 
 
 @dataclass(frozen=True)
 class CallPaths:
-    """Paths under which clients reach the interfaces whose paths the platform prescribes."""
+    """Paths of the client interfaces that the platform prescribes."""
 
     batch_job: str
-    """Results of a batch job and its end; the job's id follows."""
+    """Prefix of a batch job's results and completion, followed by the job id."""
     batch_item: str
-    """Body of an item; the job's id follows."""
+    """Prefix of an item's body, followed by the job id."""
 
 
 class StoreErrorKind(Enum):
-    """Why a call to the object store has no result."""
+    """Cause of a failed call to the object store."""
 
     NOT_FOUND = "not_found"
     CONFLICT = "conflict"
-    """The object's revision is another one, or it exists already."""
+    """The object has another revision, or exists already."""
     COMPACTED = "compacted"
-    """The history that a watch asks for is gone: list again."""
+    """The history requested by a watch was compacted; list again."""
     NOT_DONE = "not_done"
-    """Surely without effect: no connection, refused or throttled."""
+    """Certainly without effect: no connection, refused or throttled."""
     UNKNOWN = "unknown"
-    """No answer: a write may have been done, or may still be done."""
+    """No response: a write may have taken effect, or may still do so."""
 
 
 @dataclass(frozen=True)
 class StoreError:
-    """A call to the object store without a result."""
+    """A failed call to the object store."""
 
     kind: StoreErrorKind
     detail: str
 
 
 class StoredRecord(msgspec.Struct, frozen=True):
-    """One object of the store."""
+    """One object in the store."""
 
     kind: str
     name: str
     revision: int
     """Store revision of its last change."""
     spec: Any
-    """Plain values (maps, lists, strings, numbers)."""
+    """Decoded JSON: dicts, lists, strings, numbers."""
     status: Any = None
 
 
 @dataclass(frozen=True)
 class UnreadableRecord:
-    """An object that can't be read, of which nothing is used; never holds any of its bytes."""
+    """An undecodable or invalid object; holds none of its contents, which may be keys."""
 
     kind: str
     name: str | None
-    """None where not even the name can be read."""
+    """None if the name can't be decoded."""
     revision: int | None
     cause: str
     digest: str = ""
-    """Stands for its bytes where its revision can't be read."""
+    """Digest of its bytes, which identifies it if the revision can't be decoded."""
 
 
 @dataclass(frozen=True)
 class Listing:
-    """All objects of a kind as of one store revision."""
+    """All objects of a kind at one store revision."""
 
     revision: int
     records: tuple[StoredRecord, ...]
     unreadable: tuple[UnreadableRecord, ...] = ()
-    """Those that can't be read; they count as absent."""
+    """Objects that can't be read; treated as absent."""
 
     @property
     def newest_revision(self) -> int:
-        """Revision of the newest change that the list shows; 0 without any."""
+        """Highest revision of the listed objects; 0 for an empty list."""
         read = (each.revision for each in self.records)
         unreadable = (each.revision or 0 for each in self.unreadable)
         return max((*read, *unreadable), default=0)
@@ -122,7 +119,7 @@
 
 @dataclass(frozen=True)
 class RecordChange:
-    """One change that a watch reports."""
+    """One change reported by a watch."""
 
     record: StoredRecord
     deleted: bool
@@ -130,41 +127,41 @@
 
 @dataclass(frozen=True)
 class Changes:
-    """What a watch reports; the next watch goes on from `revision`."""
+    """Result of a watch; the next watch continues from `revision`."""
 
     revision: int
     changes: tuple[RecordChange, ...]
     unreadable: tuple[UnreadableRecord, ...] = ()
-    """Objects that can't be read; one whose name can stands among the changes as deleted."""
+    """Objects that can't be read; those with a known name are also in `changes` as deleted."""
 
     @property
     def is_complete(self) -> bool:
-        """Whether it is known of each change which object it is of."""
+        """Whether the object of every change is known; if not, a list is needed."""
         return all(each.name is not None for each in self.unreadable)
 
 
 class RecordStore(ABC):
-    """The hosting platform's object store. Calls block; each has its own time-out."""
+    """The hosting platform's object store. Calls block; each has its own timeout."""
 
     @abstractmethod
     def list_kind(self, kind: str, *, stale: bool = False) -> Result[Listing, StoreError]:
-        """Read all objects of a kind; `stale` may be seconds old and costs little."""
+        """Read all objects of a kind; `stale` reads are cheap but may lag by seconds."""
 
     @abstractmethod
     def read(self, kind: str, name: str) -> Result[StoredRecord, StoreError]:
-        """Read one object, linearizably."""
+        """Read one object (linearizable)."""
 
     @abstractmethod
     def watch(self, kind: str, revision: int, wait_s: float) -> Result[Changes, StoreError]:
-        """Return the changes after `revision`, as soon as there is one or `wait_s` has passed."""
+        """Return the changes after `revision`, waiting up to `wait_s` for the first."""
 
     @abstractmethod
     def interrupt_watches(self, kind: str) -> None:
-        """Have the watches of a kind that are in hand fail now."""
+        """Make the pending watches of a kind fail immediately."""
 
     @abstractmethod
     def create(self, kind: str, name: str, spec: Any) -> Result[StoredRecord, StoreError]:
-        """Create an object; `CONFLICT` when it exists."""
+        """Create an object; `CONFLICT` if it exists."""
 
     @abstractmethod
     def replace(
@@ -180,7 +177,7 @@
 
     @abstractmethod
     def delete(self, kind: str, name: str, revision: int | None) -> Result[None, StoreError]:
-        """Delete an object; with a revision only if it still has that one."""
+        """Delete an object; with a revision, only if it still has that revision."""
 
 
 class RecordKind:
@@ -191,30 +188,30 @@
     RETIREMENTS = "retirements"
     VERSIONS = "versions"
     NODES = "bellweir-nodes"
-    """Own kind: addresses of the nodes, to find peers by."""
+    """Addresses of nodes, for peer discovery. Written only by this service."""
     LEASES = "bellweir-leases"
-    """Own kind: leases of duties."""
+    """Leases of duties. Written only by this service."""
     LEDGERS = "bellweir-ledgers"
-    """Own kind: where the ledger's replicas are."""
+    """Placement of the ledger's replicas. Written only by this service."""
 
 
 class OrderOutcome(Enum):
-    """What a worker said to an order."""
+    """Outcome of an order to a worker."""
 
     ACCEPTED = "accepted"
-    """Under way."""
+    """In progress."""
     IN_FORCE = "in_force"
-    """It held already."""
+    """Already in effect."""
     CONFLICT = "conflict"
-    """Another order is under way, or the expected sequence number is another one."""
+    """Another order is in progress, or the expected sequence number differs."""
     FENCED = "fenced"
     WRONG_INSTANCE = "wrong_instance"
-    """Another worker has the address."""
+    """Another worker has this address."""
     INVALID = "invalid"
     NOT_SENT = "not_sent"
-    """Surely not taken."""
+    """Certainly not accepted."""
     UNKNOWN = "unknown"
-    """No answer; it may be carried out now or seconds later."""
+    """No response; the order may be executed now or seconds later."""
 
 
 @dataclass(frozen=True)
@@ -224,14 +221,14 @@
     model: str
     version: int
     mode: str
-    """`wait`, `truncate` or `retain`: what becomes of running requests."""
+    """`wait`, `truncate` or `retain`: how running requests are treated."""
     holder: str
     fencing_token: int
     expected_sequence: int | None
 
 
 class ModelState(msgspec.Struct, frozen=True):
-    """A model as a worker holds it."""
+    """A model held by a worker."""
 
     name: str
     version: int
@@ -239,64 +236,64 @@
 
 @dataclass(frozen=True)
 class WorkerReport:
-    """A worker's own account, some hundred milliseconds old."""
+    """A worker's report of its own state, which may be some hundred milliseconds old."""
 
     models: tuple[ModelState, ...]
     order_in_progress: bool
     sequence: int
-    """Orders taken since its start."""
+    """Number of orders accepted since its start."""
     born_ms: int = 0
-    """Unix millisecond of its start; 0 where it does not tell it."""
+    """Start time in Unix milliseconds; 0 if unknown."""
 
 
 class WorkerControl(ABC):
-    """Calls to workers besides requests."""
+    """Control calls to workers."""
 
     @abstractmethod
     def report(self, address: str, timeout_s: float) -> WorkerReport | None:
-        """Ask a worker for its report; None without a usable answer."""
+        """Ask a worker for its report; None without a valid response."""
 
     @abstractmethod
     def order(
         self, address: str, instance: str, order: VersionOrder, timeout_s: float
     ) -> OrderOutcome:
-        """Give an order to the worker `instance` at an address."""
+        """Send an order to the worker `instance` at an address."""
 
     @abstractmethod
     def reset_connections(self, address: str) -> None:
-        """Use no connection of before: another worker is there, or one that started again."""
+        """Drop pooled connections to an address, since its worker was replaced or restarted."""
 
 
 class DutyOutcome(Enum):
-    """What the platform said to a call that is a duty of one node at a time."""
+    """Outcome of a platform call that only one node at a time may make."""
 
     DONE = "done"
     REFUSED = "refused"
-    """It can't be done now, whoever asks."""
+    """Not possible now, for any caller."""
     NOT_DONE = "not_done"
-    """Surely without effect: not reached, busy or throttled."""
+    """Certainly without effect: not reached, busy or throttled."""
     FENCED = "fenced"
-    """A newer holder has called."""
+    """A holder with a newer fencing token has called."""
     INVALID = "invalid"
     UNKNOWN = "unknown"
-    """No answer: it may have been done, or may still be done."""
+    """No response: the call may have taken effect, or may still do so."""
 
 
 @dataclass(frozen=True)
 class UsageReport:
-    """What the tenants have used in one window."""
+    """Usage by tenant in one time window."""
 
     window: int
-    """Number of the window since the beginning of 1970."""
+    """Number of the window since the Unix epoch."""
     counts: dict[str, int]
-    """Requests that began to run, by tenant."""
+    """Requests started, by tenant."""
     holder: str
     fencing_token: int
 
 
 @dataclass(frozen=True)
 class WorkerCountOrder:
-    """How many workers of a service a zone is to hold."""
+    """Desired number of workers of a service in a zone."""
 
     service: str
     zone: str
@@ -306,24 +303,24 @@
 
 
 class DutyPlatform(ABC):
-    """Calls to the platform that are a duty of one node at a time. Each has its own time-out."""
+    """Platform calls that only one node at a time may make, each under a fencing token."""
 
     @abstractmethod
     def report_usage(self, report: UsageReport, timeout_s: float) -> DutyOutcome:
-        """Report a window's usage; the same report again does no harm."""
+        """Report a window's usage. Idempotent."""
 
     @abstractmethod
     def order_workers(self, order: WorkerCountOrder, timeout_s: float) -> DutyOutcome:
-        """Order a zone's number of workers; `REFUSED` when none can be had there now."""
+        """Order a zone's number of workers; `REFUSED` if the zone has no capacity now."""
 
 
 @dataclass(frozen=True)
 class HostingPlatform:
-    """Everything an adapter provides."""
+    """The parts that an adapter provides."""
 
     headers: HeaderNames
     paths: CallPaths
     store: RecordStore
     control: WorkerControl
     duties_at: Callable[[str], DutyPlatform]
-    """Makes the client of the duties' interface at `host:port`."""
+    """Creates the client of the duties interface at `host:port`."""
--- a/src/bellweir/hosted/placement_objects.py
+++ b/src/bellweir/hosted/placement_objects.py
@@ -34,7 +34,7 @@
 
 
 class PlacementObjects(ObjectStore):
-    """Documents of the ledger in a kind of its own; nothing else is kept here."""
+    """Object store for the ledger's documents, all kept under the kind `LEDGERS`."""
 
     def __init__(self, store: RecordStore) -> None:
         self._store = store
@@ -47,7 +47,7 @@
     def put(
         self, document: Mapping[str, Any], expected_version: int | None, mutation_id: str
     ) -> Result[StoredObject, PlatformError]:
-        """Write a document over the expected version; 0 creates."""
+        """Replace a document if it has the expected version; 0 or None creates it."""
         name = document["metadata"]["name"]
         spec = dict(document)
         if not expected_version:
@@ -78,7 +78,7 @@
     def watch(
         self, from_revision: int, timeout_s: float
     ) -> Iterator[Result[ObjectChange, PlatformError]]:
-        """Yield changes; not used by the ledger, which reads when it needs to."""
+        """Yield the changes of one watch."""
         found = self._store.watch(RecordKind.LEDGERS, from_revision, timeout_s)
         if not isinstance(found, Success):
             yield Failure(_error(found.failure()))
@@ -91,7 +91,7 @@
 
 
 class PlacementService(Service, ObjectStoreProvider):
-    """Gives the ledger its store. Service `platform`."""
+    """Service `platform`: provides the ledger's object store."""
 
     name = names.PLATFORM
 
--- a/src/bellweir/hosted/process.py
+++ b/src/bellweir/hosted/process.py
@@ -1,4 +1,4 @@
-"""Composition root of a hosted process: its role's services, its signals, its planned stop."""
+"""Composition root of a hosted process: services of its role, signals, graceful shutdown."""
 
 import importlib
 import os
@@ -51,14 +51,14 @@
 ADAPTER_MODULE = "bellweir_platform.adapter"
 EXIT_USAGE = 2
 EXIT_MARGIN_S = 0.7
-"""Time kept at the end of the grace period for the rest of the stop."""
+"""Part of the grace period reserved for the shutdown after draining."""
 
 
 RoleService = Callable[[Kernel, HostedSettings, HostingPlatform], Service]
 
 
 class HostedProcess:
-    """One running process of a role."""
+    """A process that runs one role."""
 
     def __init__(
         self, loaded: LoadedSettings, path: Path, platform: HostingPlatform, log: BoundedLog
@@ -68,24 +68,24 @@
         self._path = path
         settings = loaded.settings
         self._settings = settings
-        self._stop_asked = threading.Event()
-        self._reload_asked = threading.Event()
+        self._stop_requested = threading.Event()
+        self._reload_requested = threading.Event()
         self._wake = threading.Event()
         self.kernel = Kernel(_bind(settings))
         self._register(settings, platform)
 
     def _register(self, settings: HostedSettings, platform: HostingPlatform) -> None:
         kernel = self.kernel
-        shared = node_settings(settings)
+        node_cfg = node_settings(settings)
         entries = EntryValidator()
         store = CountingStore(ValidatingStore(platform.store, entries))
         platform = replace(platform, store=store)
         self._store = store
         add = kernel.registry.register
-        add(TransportService(kernel, shared))
-        add(MembershipService(kernel, shared))
+        add(TransportService(kernel, node_cfg))
+        add(MembershipService(kernel, node_cfg))
         add(PlacementService(store))
-        add(LedgerService(kernel, shared))
+        add(LedgerService(kernel, node_cfg))
         seeds, seed_wait_s = seeds_to_ask(settings), _seed_wait_s(settings)
         add(ViewsService(kernel, store, seeds, seed_wait_s, entries))
         add(PeerRecords(kernel, store, is_first_start=settings.node.bootstrap))
@@ -93,35 +93,35 @@
         for make in _role_services(settings.node.role):
             add(make(kernel, settings, platform))
 
-    def run(self, began_s: float) -> None:
-        """Start, serve until SIGTERM or until a service can't go on, then stop in time."""
+    def run(self, started_s: float) -> None:
+        """Start, serve until SIGTERM or a fatal service failure, then stop in the grace period."""
         signal.signal(signal.SIGTERM, self._on_stop)
         signal.signal(signal.SIGINT, self._on_stop)
         signal.signal(signal.SIGHUP, self._on_reload)
         self.kernel.ending.listen(self._wake.set)
         self.kernel.registry.start()
         node = self._settings.node
-        start_ms = round(1000 * (time.monotonic() - began_s))
+        start_ms = round(1000 * (time.monotonic() - started_s))
         emit(PROCESS_STARTED, role=node.role, zone=node.zone, start_ms=start_ms)
-        while not self._stop_asked.is_set() and self.kernel.ending.cause is None:
+        while not self._stop_requested.is_set() and self.kernel.ending.cause is None:
             self._wake.wait(1.0)
             self._wake.clear()
             self._store.log_calls_if_due()
-            if self._reload_asked.is_set():
-                self._reload_asked.clear()
+            if self._reload_requested.is_set():
+                self._reload_requested.clear()
                 self._reload()
         self._stop()
 
     def _on_stop(self, _number: int, _frame: FrameType | None) -> None:
-        self._stop_asked.set()
+        self._stop_requested.set()
         self._wake.set()
 
     def _on_reload(self, _number: int, _frame: FrameType | None) -> None:
-        self._reload_asked.set()
+        self._reload_requested.set()
         self._wake.set()
 
     def _reload(self) -> None:
-        """Check the changed settings; what they hold now counts from the next start on."""
+        """Validate the changed settings and log the differences; they apply from the next start."""
         try:
             loaded = load_settings(self._path)
         except SettingsError as failure:
@@ -132,7 +132,7 @@
         emit(SETTINGS_RELOADED, changed=changed)
 
     def _stop(self) -> None:
-        began_s = time.monotonic()
+        started_s = time.monotonic()
         registry = self.kernel.registry
         registry.find(names.MEMBERSHIP, MembershipService).announce_leaving()
         self._store.log_calls()
@@ -140,14 +140,14 @@
         try:
             registry.stop()
         finally:
-            emit(PROCESS_STOPPED, seconds=round(time.monotonic() - began_s, 3), left_running=0)
+            emit(PROCESS_STOPPED, seconds=round(time.monotonic() - started_s, 3), left_running=0)
             self._log.close()
-            # Tasks that wait in the store or for a worker hold nothing that must be saved.
+            # Tasks that block on the store or a worker hold no state to save.
             os._exit(EXIT_GIVEN_UP if self.kernel.ending.cause is not None else 0)
 
 
 def _role_services(role: str) -> tuple[RoleService, ...]:
-    """Constructors of a role's own services; a role imports only what it needs."""
+    """Constructors of a role's services, imported only for the role that needs them."""
     if role == GATEWAY_ROLE:
         from bellweir.hosted.serving.service import FrontService
         from bellweir.hosted.sight.service import WorkerMonitorService
@@ -170,7 +170,7 @@
 
 
 def _seed_wait_s(settings: HostedSettings) -> float:
-    """Time for which a seed is waited for before the store is read."""
+    """Time to wait for a seed before the store is read."""
     return FIRST_START_SEED_WAIT_S if settings.node.bootstrap else SEED_WAIT_S
 
 
@@ -193,8 +193,8 @@
 
 
 def main() -> None:
-    """Run the process whose settings file the environment names."""
-    began_s = time.monotonic()
+    """Run the process with the settings file named by the environment."""
+    started_s = time.monotonic()
     log = BoundedLog(sys.stdout, LINES_LEFT_OUT)
     configure_logs("info", "json", log)
     path = Path(os.environ.get(SETTINGS_VARIABLE, "/etc/bellweir/settings.json"))
@@ -209,4 +209,4 @@
         emit(SETTINGS_UNKNOWN, keys=list(loaded.unknown_keys))
     make_platform = importlib.import_module(ADAPTER_MODULE).make_platform
     platform = make_platform(loaded.settings.store.address)
-    HostedProcess(loaded, path, platform, log).run(began_s)
+    HostedProcess(loaded, path, platform, log).run(started_s)
--- a/src/bellweir/hosted/records.py
+++ b/src/bellweir/hosted/records.py
@@ -1,4 +1,4 @@
-"""Objects of the store that the operator and the workers write, as this service reads them."""
+"""Schemas of the store objects written by the operator, the workers and the trainers."""
 
 from enum import Enum
 
@@ -6,25 +6,25 @@
 
 
 class RouteKind(Enum):
-    """What may be done with a route's requests."""
+    """How the requests of a route may be executed."""
 
     IDEMPOTENT = "idempotent"
     """May run more than once."""
     NON_IDEMPOTENT = "non_idempotent"
     """Runs at most once for each attempt of a client."""
     STREAMING = "streaming"
-    """Answers with a series of events."""
+    """Responds with an event stream."""
     ROLLOUT = "rollout"
-    """Takes batch jobs of a trainer."""
+    """Accepts batch jobs of a trainer."""
     BATCH = "batch"
-    """Takes batch jobs without a trainer."""
+    """Accepts batch jobs without a trainer."""
 
 
 JOB_KINDS = frozenset({RouteKind.ROLLOUT, RouteKind.BATCH})
 
 
 class Backend(msgspec.Struct, frozen=True, rename="camel"):
-    """A service that gets a share of a route's requests."""
+    """A service that receives a weighted share of a route's requests."""
 
     service: str
     weight: float = 1.0
@@ -38,33 +38,33 @@
     kind: RouteKind = RouteKind.NON_IDEMPOTENT
     name: str = ""
     timeout_ms: float = 60_000.0
-    """Longest time for which a client's attempt is held."""
+    """Maximum duration of a client's attempt."""
     target_ms: float = 1_000.0
-    """Time within which an answer has its full worth."""
+    """Latency target of a response."""
     max_attempts: int = 1
-    """Most workers that one client attempt may go to."""
+    """Maximum number of workers tried per client attempt."""
     priority: int = 5
     can_resume: bool = False
-    """Whether a stream may continue at another worker."""
+    """Whether a stream may be resumed on another worker."""
     service: str = ""
     backends: tuple[Backend, ...] = ()
     due_ms: float | None = None
-    """Batch jobs: when all results are due."""
+    """Batch jobs: time until all results are due."""
     max_wait_s: float | None = None
-    """Batch jobs: when an item may be given up."""
+    """Batch jobs: time after which an item may be abandoned."""
     single_version: bool = False
     """Batch jobs: whether all events of an item must come from one version."""
     public: bool = False
-    """Whether its requests need no tenant's key."""
+    """Whether its requests need no tenant key."""
 
     @property
     def effective_backends(self) -> tuple[Backend, ...]:
-        """The services and their shares."""
+        """The weighted backends, or the single service."""
         return self.backends or (Backend(self.service),)
 
     @property
     def accepts_jobs(self) -> bool:
-        """Whether requests under it are batch jobs."""
+        """Whether its requests are batch jobs."""
         return self.kind in JOB_KINDS
 
 
@@ -75,7 +75,7 @@
 
 
 class Engine(msgspec.Struct, frozen=True, rename="camel"):
-    """What a service's workers are as model engines."""
+    """Properties of a service's workers as model engines."""
 
     slots: int = 1
     kv_capacity: int = 0
@@ -83,18 +83,18 @@
 
 
 class Autoscale(msgspec.Struct, frozen=True, rename="camel"):
-    """How many workers of a service may be ordered, in each of its zones."""
+    """Limits on the number of workers of a service, per zone."""
 
     min: int = 0
     max: int = 0
     boot_s: float = 0.0
-    """Time from an order to the worker's service."""
+    """Time from the order of a worker until it is ready."""
     zone_prices: dict[str, float] = {}
-    """Price of a second of a worker, by zone."""
+    """Price per worker-second, by zone."""
 
 
 class ServiceEntry(msgspec.Struct, frozen=True, rename="camel"):
-    """A service whose workers requests go to."""
+    """A service whose workers handle requests."""
 
     name: str
     health_path: str = "/health"
@@ -104,7 +104,7 @@
 
 
 class ClientLimits(msgspec.Struct, frozen=True, rename="camel"):
-    """What a client may send and how long it may take."""
+    """Limits on the size and duration of client requests."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 32 << 20
@@ -113,27 +113,27 @@
 
 
 class TenantEntry(msgspec.Struct, frozen=True, rename="camel"):
-    """A tenant and the keys by which its requests are known."""
+    """A tenant and the API keys that identify its requests."""
 
     name: str
     api_keys: tuple[str, ...] = ()
     priority: int | None = None
-    """Rank of its requests, 0 first; goes before the route's."""
+    """Priority of its requests, 0 first; overrides the route's."""
 
 
 class Configuration(msgspec.Struct, frozen=True, rename="camel"):
-    """One whole configuration."""
+    """A complete configuration."""
 
     version: int
     routes: tuple[Route, ...] = ()
     services: tuple[ServiceEntry, ...] = ()
     limits: ClientLimits = ClientLimits()
     tenants: tuple[TenantEntry, ...] = ()
-    """With any, each request needs a key, unless its route is public."""
+    """If there are any, each request needs a key unless its route is public."""
 
 
 class WorkerState(Enum):
-    """What a worker says of itself."""
+    """State that a worker reports of itself."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -147,7 +147,7 @@
 
 
 class WorkerEntry(msgspec.Struct, frozen=True, rename="camel"):
-    """A worker's own entry, under its instance id."""
+    """A worker's entry, stored under its instance id."""
 
     service: str
     address: str
@@ -155,18 +155,18 @@
     slots: int = 1
     state: WorkerState = WorkerState.READY
     born: int = 0
-    """Unix millisecond of its start; 0 where it does not tell it."""
+    """Start time in Unix milliseconds; 0 if unknown."""
     models: tuple[WorkerModel, ...] = ()
 
 
 class NamedVersion(msgspec.Struct, frozen=True, rename="camel"):
-    """The newest version of a model's weights that its trainer has named."""
+    """The latest version of a model's weights published by its trainer."""
 
     model: str
     version: int
 
 
 class Retirement(msgspec.Struct, frozen=True, rename="camel"):
-    """The operator's wish to empty a store machine."""
+    """The operator's request to decommission a store machine."""
 
     duration_s: float = 0.0
--- a/src/bellweir/hosted/retirement.py
+++ b/src/bellweir/hosted/retirement.py
@@ -1,8 +1,8 @@
-"""Service `retirement`: empties the store machines that the operator wants to take away.
+"""Service `retirement`: decommissions store machines on the operator's request.
 
-The node that leads the jobs' shard follows the wishes, heeds them and writes the status. A machine
-is emptied once others that answer hold the full number of replicas: with fewer, the loss of one
-more disk could not be borne.
+The leader of the jobs shard watches the requests, applies them and writes their status. A machine
+is released only once other responsive machines hold the full number of replicas, so that the loss
+of another disk stays tolerable.
 """
 
 import threading
@@ -33,17 +33,17 @@
 
 RUNNING = "running"
 COMPLETED = "completed"
-STEP_S = 0.3
+POLL_INTERVAL_S = 0.3
 
 
 class RetirementStatus(msgspec.Struct, frozen=True):
-    """Status that the operator reads."""
+    """Status of a retirement, read by the operator."""
 
     state: str
 
 
 class RetirementService(Service):
-    """One task follows the wishes, another one reports on them."""
+    """Watches retirement requests in one task and reports their progress in another."""
 
     name = names.RETIREMENT
     dependencies = (names.LEDGER, names.VIEWS, names.TRANSPORT, names.MEMBERSHIP)
@@ -52,7 +52,7 @@
         self._kernel = kernel
         self._store = platform.store
         self._lock = threading.Lock()
-        self._wishes: dict[str, StoredRecord] = {}
+        self._requests: dict[str, StoredRecord] = {}
 
     def start(self) -> None:
         """Start the tasks."""
@@ -63,8 +63,8 @@
         follower = KindFollower(
             self._store,
             RecordKind.RETIREMENTS,
-            self._take_listing,
-            self._take_change,
+            self._apply_listing,
+            self._apply_change,
             is_wanted=lambda: self._ledger.leads(JOBS_KEY),
             is_relayable=False,
         )
@@ -75,43 +75,43 @@
     def stop(self) -> None:
         """The tasks end with the executors."""
 
-    def _take_listing(self, listing: Listing) -> None:
+    def _apply_listing(self, listing: Listing) -> None:
         with self._lock:
-            self._wishes = {record.name: record for record in listing.records}
-        self._tell_ledger()
+            self._requests = {record.name: record for record in listing.records}
+        self._update_ledger()
 
-    def _take_change(self, change: RecordChange) -> None:
+    def _apply_change(self, change: RecordChange) -> None:
         with self._lock:
-            self._wishes.pop(change.record.name, None)
+            self._requests.pop(change.record.name, None)
             if not change.deleted:
-                self._wishes[change.record.name] = change.record
-        self._tell_ledger()
+                self._requests[change.record.name] = change.record
+        self._update_ledger()
 
-    def _tell_ledger(self) -> None:
-        self._ledger.retire(frozenset(self._wishes))
+    def _update_ledger(self) -> None:
+        self._ledger.retire(frozenset(self._requests))
 
     def _run(self, stopping: threading.Event) -> None:
-        while not stopping.wait(STEP_S):
+        while not stopping.wait(POLL_INTERVAL_S):
             if not self._ledger.leads(JOBS_KEY):
                 continue
             with self._lock:
-                wishes = list(self._wishes.values())
-            self._tell_ledger()
-            for record in wishes:
+                requests = list(self._requests.values())
+            self._update_ledger()
+            for record in requests:
                 self._report(record)
 
     def _report(self, record: StoredRecord) -> None:
         state = _state_of(record)
         if state == COMPLETED:
             return
-        self._ask_aside(record.name)
+        self._request_lease_release(record.name)
         if self._ledger.release(record.name):
             self._write(record, COMPLETED)
         elif state != RUNNING:
             self._write(record, RUNNING)
 
-    def _ask_aside(self, node: str) -> None:
-        """Have a machine give its leases back before it goes."""
+    def _request_lease_release(self, node: str) -> None:
+        """Ask a machine to release its leases before it is removed."""
         member = self._members.member(node)
         if member is not None:
             self._transport.send(member.peer_address, StepAside())
@@ -124,8 +124,8 @@
         if not isinstance(written, Success):
             return
         with self._lock:
-            if record.name in self._wishes:
-                self._wishes[record.name] = written.unwrap()
+            if record.name in self._requests:
+                self._requests[record.name] = written.unwrap()
         event = RETIREMENT_COMPLETED if state == COMPLETED else RETIREMENT_STARTED
         emit(event, machine=record.name)
 
--- a/src/bellweir/hosted/validating_store.py
+++ b/src/bellweir/hosted/validating_store.py
@@ -1,4 +1,4 @@
-"""A store of which only entries that can be used are told; see `entries`."""
+"""Store wrapper that hides invalid entries; see `entries`."""
 
 from typing import Any
 
@@ -9,29 +9,29 @@
 
 
 class ValidatingStore(RecordStore):
-    """Lists and watches of an inner store, without what can't be used."""
+    """Filters invalid entries out of the lists and watches of an inner store."""
 
     def __init__(self, inner: RecordStore, entries: EntryValidator) -> None:
         self._inner = inner
         self._entries = entries
 
     def list_kind(self, kind: str, *, stale: bool = False) -> Result[Listing, StoreError]:
-        """List what can be used."""
+        """List the valid objects of a kind."""
         return self._inner.list_kind(kind, stale=stale).map(self._entries.validate_listing)
 
     def read(self, kind: str, name: str) -> Result[StoredRecord, StoreError]:
-        """Read one object as it is: its reader needs the revision of a bad one to replace it."""
+        """Read one object, valid or not: the caller needs its revision to replace it."""
         found = self._inner.read(kind, name)
         if isinstance(found, Success):
             self._entries.is_usable(found.unwrap())
         return found
 
     def watch(self, kind: str, revision: int, wait_s: float) -> Result[Changes, StoreError]:
-        """Watch; what became unusable is told as deleted."""
+        """Watch; objects that became invalid are reported as deleted."""
         return self._inner.watch(kind, revision, wait_s).map(self._entries.validate_changes)
 
     def interrupt_watches(self, kind: str) -> None:
-        """Have watches fail."""
+        """Make the pending watches fail."""
         self._inner.interrupt_watches(kind)
 
     def create(self, kind: str, name: str, spec: Any) -> Result[StoredRecord, StoreError]:
