--- a/features/steps/hosted_batches_steps.py
+++ b/features/steps/hosted_batches_steps.py
@@ -271,7 +271,7 @@
 @given_step("a worker that refuses all requests for a second, and announces a weight load")
 def given_announced_load(context):
     worker = context.leader.models[0]
-    announce = context.leader.coordinator._attempts.refusal_backoff.on_load_update
+    announce = context.leader.coordinator._attempts.refusal_backoff.on_weight_load_update
     # Announced for longer than it lasts, so that only the announced end admits requests.
     announce(worker.incarnation, MODEL, 4.0)
     worker.refuse_for(1.0)
@@ -306,11 +306,11 @@
             if what == "pass":
                 now_s += seconds
             elif what == "load":
-                guard.on_load_update(worker, "m", seconds)
+                guard.on_weight_load_update(worker, "m", seconds)
                 closed_until_s = max(closed_until_s, now_s + min(seconds, MAX_WEIGHT_LOAD_S))
                 is_open = False
             elif what == "load_ended":
-                guard.on_load_update(worker, "m", 0.0)
+                guard.on_weight_load_update(worker, "m", 0.0)
                 closed_until_s, is_open = 0.0, True
             else:
                 guard.record_refusal(worker, "m")
