--- a/src/bellweir/hosted/placement_objects.py
+++ b/src/bellweir/hosted/placement_objects.py
@@ -13,7 +13,7 @@
     ObjectStoreProvider,
     StoredObject,
 )
-from bellweir.hosted.entries import unusable_cause
+from bellweir.hosted.entries import invalid_reason
 from bellweir.hosted.interface import (
     RecordKind,
     RecordStore,
@@ -34,7 +34,7 @@
 
 
 class PlacementObjects(ObjectStore):
-    """Documents of the ledger in a kind of its own; nothing else is kept here."""
+    """Object store for the ledger's documents, all kept under the kind `LEDGERS`."""
 
     def __init__(self, store: RecordStore) -> None:
         self._store = store
@@ -47,7 +47,7 @@
     def put(
         self, document: Mapping[str, Any], expected_version: int | None, mutation_id: str
     ) -> Result[StoredObject, PlatformError]:
-        """Write a document over the expected version; 0 creates."""
+        """Replace a document if it has the expected version; 0 or None creates it."""
         name = document["metadata"]["name"]
         spec = dict(document)
         if not expected_version:
@@ -70,7 +70,7 @@
                 tuple(
                     _stored(record.spec["kind"], record)
                     for record in listing.records
-                    if unusable_cause(record) is None
+                    if invalid_reason(record) is None
                 ),
             )
         ).alt(_error)
@@ -78,20 +78,20 @@
     def watch(
         self, from_revision: int, timeout_s: float
     ) -> Iterator[Result[ObjectChange, PlatformError]]:
-        """Yield changes; not used by the ledger, which reads when it needs to."""
+        """Yield the changes of one watch."""
         found = self._store.watch(RecordKind.LEDGERS, from_revision, timeout_s)
         if not isinstance(found, Success):
             yield Failure(_error(found.failure()))
             return
         for change in found.unwrap().changes:
-            if unusable_cause(change.record) is not None:
+            if invalid_reason(change.record) is not None:
                 continue
             stored = _stored(change.record.spec["kind"], change.record)
             yield Success(ObjectChange(change.record.revision, stored, change.deleted))
 
 
 class PlacementService(Service, ObjectStoreProvider):
-    """Gives the ledger its store. Service `platform`."""
+    """Service `platform`: provides the ledger's object store."""
 
     name = names.PLATFORM
 
@@ -114,7 +114,7 @@
 
 
 def _usable(kind: str, record: StoredRecord) -> Result[StoredObject, PlatformError]:
-    cause = unusable_cause(record)
+    cause = invalid_reason(record)
     if cause is not None:
         return Failure(PlatformError(ErrorKind.INVALID, cause))
     return Success(_stored(kind, record))
--- a/src/bellweir/hosted/views/configuration.py
+++ b/src/bellweir/hosted/views/configuration.py
@@ -5,7 +5,7 @@
 from types import MappingProxyType
 
 from bellweir.events.log import emit
-from bellweir.hosted.entries import UnreadableEntries, UnusableEntryError
+from bellweir.hosted.entries import EntryValidator, InvalidEntryError
 from bellweir.hosted.interface import Listing, RecordChange, RecordKind, StoredRecord
 from bellweir.hosted.log_events import CONFIGURATION_IN_FORCE, CONFIGURATION_REFUSED
 from bellweir.hosted.records import Configuration, Route, ServiceEntry
@@ -70,12 +70,12 @@
 
     def has_engines(self, route: Route) -> bool:
         """Whether a route's requests go to model engines."""
-        entries = (self.services.get(part.service) for part in route.parts)
+        entries = (self.services.get(part.service) for part in route.effective_backends)
         return any(entry is not None and entry.engine is not None for entry in entries)
 
     def has_public_jobs(self, host: str) -> bool:
         """Whether a host has a route that accepts batch jobs without a key."""
-        return any(route.takes_jobs and route.public for route in self._routes_of(host))
+        return any(route.accepts_jobs and route.public for route in self._routes_of(host))
 
     def _routes_of(self, host: str) -> list[Route]:
         name = host.lower()
@@ -86,9 +86,9 @@
 class ConfigurationView:
     """Holds the newest configuration received from the store or a peer."""
 
-    def __init__(self, entries: UnreadableEntries | None = None) -> None:
+    def __init__(self, entries: EntryValidator | None = None) -> None:
         """`entries` counts configurations and parts that cannot be decoded."""
-        self._entries = entries if entries is not None else UnreadableEntries()
+        self._entries = entries if entries is not None else EntryValidator()
         self._last_rejected: object = NOTHING_REJECTED
         self._lock = threading.Lock()
         self._table: RouteTable | None = None
@@ -132,7 +132,7 @@
             previous = self._table.configuration if self._table is not None else None
             try:
                 result = read_configuration(spec, self._spec, previous)
-            except UnusableEntryError as failure:
+            except InvalidEntryError as failure:
                 self._record_rejected(spec, str(failure))
                 return
             configuration = result.configuration
--- a/src/bellweir/hosted/views/configuration_parts.py
+++ b/src/bellweir/hosted/views/configuration_parts.py
@@ -23,8 +23,8 @@
 import msgspec
 
 from bellweir.events.log import emit
-from bellweir.hosted.entries import UnusableEntryError, cause_of, plain_values
-from bellweir.hosted.leniency import readable_configuration
+from bellweir.hosted.compatibility import normalize_configuration
+from bellweir.hosted.entries import InvalidEntryError, plain_values, validation_message
 from bellweir.hosted.log_events import CONFIGURATION_PART_UNREADABLE
 from bellweir.hosted.records import ClientLimits, Configuration, Route, ServiceEntry, TenantEntry
 
@@ -80,7 +80,7 @@
 ) -> ReadConfiguration:
     """Decode a configuration, with fallbacks from the previous one.
 
-    Raises `UnusableEntryError` if the whole configuration has to be rejected.
+    Raises `InvalidEntryError` if the whole configuration has to be rejected.
 
     >>> routes = [{"host": "h", "pathPrefix": "/a/", "timeoutMs": "soon"}]
     >>> result = read_configuration({"version": 4, "routes": routes})
@@ -106,9 +106,9 @@
     """Decodes one configuration."""
 
     def __init__(self, spec: Any, previous_spec: Any, previous: Configuration | None) -> None:
-        self._raw = readable_configuration(plain_values(spec))
+        self._raw = normalize_configuration(plain_values(spec))
         if not isinstance(self._raw, dict):
-            raise UnusableEntryError("configuration is not an object")
+            raise InvalidEntryError("configuration is not an object")
         self._previous_routes = _raw_routes(previous_spec)
         self._previous = previous or Configuration(0)
         self._closed: set[RouteKey] = set()
@@ -131,10 +131,10 @@
         for raw in self._list("routes"):
             try:
                 yield _convert(raw, Route)
-            except UnusableEntryError as failure:
+            except InvalidEntryError as failure:
                 address = _key_of(raw)
                 if address is None:
-                    raise UnusableEntryError("route without host and pathPrefix") from failure
+                    raise InvalidEntryError("route without host and pathPrefix") from failure
                 route = self._previous_route(address, raw)
                 if route is not None:
                     yield route
@@ -158,10 +158,10 @@
         for raw in self._list(key):
             try:
                 yield _convert(raw, into)
-            except UnusableEntryError as failure:
+            except InvalidEntryError as failure:
                 name = raw.get("name") if isinstance(raw, dict) else None
                 if not isinstance(name, str):
-                    raise UnusableEntryError(f"entry of {key} without a name") from failure
+                    raise InvalidEntryError(f"entry of {key} without a name") from failure
                 part, word = fallback(name)
                 if part is not None:
                     yield part
@@ -178,7 +178,7 @@
     def _tenants(self) -> tuple[TenantEntry, ...]:
         result = tuple(self._named("tenants", TenantEntry, self._tenant_fallback))
         if not result and self._list("tenants"):
-            raise UnusableEntryError("none of the tenants can be decoded")
+            raise InvalidEntryError("none of the tenants can be decoded")
         return result
 
     def _limits(self) -> ClientLimits:
@@ -187,7 +187,7 @@
             return ClientLimits()
         try:
             limits: ClientLimits = _convert(raw, ClientLimits)
-        except UnusableEntryError as failure:
+        except InvalidEntryError as failure:
             self._record_unreadable("limits", "", failure, FORMER)
             return self._previous.limits
         return limits
@@ -195,18 +195,18 @@
     def _list(self, key: str) -> list[Any]:
         result = self._raw.get(key, [])
         if not isinstance(result, list):
-            raise UnusableEntryError(f"{key} is not a list")
+            raise InvalidEntryError(f"{key} is not a list")
         return result
 
     def _record_unreadable(
-        self, part: str, name: str, failure: UnusableEntryError, fallback: str
+        self, part: str, name: str, failure: InvalidEntryError, fallback: str
     ) -> None:
         self._unreadable.append(UnreadablePart(part, name, str(failure), fallback))
 
 
 def _raw_routes(spec: Any) -> dict[RouteKey, dict[str, Any]]:
     """Return the undecoded routes of the active configuration by key."""
-    raw = readable_configuration(spec) if spec is not None else {}
+    raw = normalize_configuration(spec) if spec is not None else {}
     routes = raw.get("routes", []) if isinstance(raw, dict) else []
     return {address: route for route in routes if (address := _key_of(route)) is not None}
 
@@ -224,4 +224,4 @@
     try:
         return msgspec.convert(raw, into)
     except msgspec.ValidationError as failure:
-        raise UnusableEntryError(cause_of(failure)) from None
+        raise InvalidEntryError(validation_message(failure)) from None
--- a/src/bellweir/hosted/views/follower.py
+++ b/src/bellweir/hosted/views/follower.py
@@ -15,7 +15,7 @@
 from returns.result import Success
 
 from bellweir.events.log import emit
-from bellweir.hosted.entries import UnreadableEntries
+from bellweir.hosted.entries import EntryValidator
 from bellweir.hosted.interface import (
     Listing,
     RecordChange,
@@ -71,7 +71,7 @@
         is_wanted: Callable[[], bool] = lambda: True,
         is_relayable: bool = True,
         on_recovery: Callable[[float], None] = lambda _until_s: None,
-        entries: UnreadableEntries | None = None,
+        entries: EntryValidator | None = None,
     ) -> None:
         """`coalesce_s`: pause after changes, so that one watch call returns several of them.
 
@@ -220,7 +220,7 @@
         changes = found.unwrap()
         self._record_answer()
         self.state.apply_changes(changes, time.monotonic() if changes.changes else asked_s)
-        if not changes.is_whole:
+        if not changes.is_complete:
             # An undecodable change may concern any object; only a list gives the current state.
             stopping.wait(
                 min(MIN_RELIST_INTERVAL_S, self._listed_s + MIN_RELIST_INTERVAL_S - asked_s)
--- a/src/bellweir/hosted/views/kind_state.py
+++ b/src/bellweir/hosted/views/kind_state.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from bellweir.hosted.entries import UnreadableEntries, cause_of
+from bellweir.hosted.entries import EntryValidator, validation_message
 from bellweir.hosted.interface import (
     Changes,
     Listing,
@@ -78,7 +78,7 @@
         on_list: Callable[[Listing], None],
         on_change: Callable[[RecordChange], None],
         on_recovery: Callable[[float], None] = lambda _until_s: None,
-        entries: UnreadableEntries | None = None,
+        entries: EntryValidator | None = None,
     ) -> None:
         """`on_recovery` is called with the time until which expired objects may come back.
 
@@ -98,7 +98,7 @@
         self._on_list = on_list
         self._on_change = on_change
         self._on_recovery = on_recovery
-        self._entries = entries if entries is not None else UnreadableEntries()
+        self._entries = entries if entries is not None else EntryValidator()
         self._lock = threading.Lock()
         self._records: dict[str, StoredRecord] = {}
         self._recent_changes: deque[tuple[int, str]] = deque(maxlen=MAX_RECENT_CHANGES)
@@ -146,14 +146,16 @@
             self.note_recovery(now_s + update.grace_s)
         decoded = self._decode_records(update)
         if update.base is None:
-            self.apply_listing(self._entries.checked(Listing(update.revision, decoded)), as_of_s)
+            self.apply_listing(
+                self._entries.validate_listing(Listing(update.revision, decoded)), as_of_s
+            )
         elif self.revision is None or update.base > self.revision:
             return False
         else:
             gone = [RecordChange(self._deleted_record(name), deleted=True) for name in update.gone]
             found = [RecordChange(record, deleted=False) for record in decoded]
             changes = Changes(update.revision, (*gone, *found))
-            self.apply_changes(self._entries.checked_changes(changes), as_of_s)
+            self.apply_changes(self._entries.validate_changes(changes), as_of_s)
         self.relayed_as_of_s = max(self.relayed_as_of_s, as_of_s)
         return True
 
@@ -213,8 +215,10 @@
             try:
                 found.append(msgspec.convert(decoded, StoredRecord))
             except msgspec.ValidationError as failure:
-                cause = cause_of(failure)
-                self._entries.note(UnreadableRecord(self.kind, None, update.revision, cause))
+                cause = validation_message(failure)
+                self._entries.log_invalid_entry(
+                    UnreadableRecord(self.kind, None, update.revision, cause)
+                )
         return tuple(found)
 
     def _deleted_record(self, name: str) -> StoredRecord:
--- a/src/bellweir/hosted/weights/controller.py
+++ b/src/bellweir/hosted/weights/controller.py
@@ -18,7 +18,7 @@
 from bellweir.events.log import emit
 from bellweir.hosted.incarnation import Incarnation
 from bellweir.hosted.interface import (
-    OrderAnswer,
+    OrderOutcome,
     VersionOrder,
     WorkerControl,
     WorkerReport,
@@ -43,7 +43,7 @@
 REPORT_TTL_S = 3.0
 """Time for which a report takes precedence over the worker's entry: two heartbeats and the delay of
 the view."""
-MAY_BE_LOADING = frozenset({OrderAnswer.ACCEPTED, OrderAnswer.UNKNOWN})
+MAY_BE_LOADING = frozenset({OrderOutcome.ACCEPTED, OrderOutcome.UNKNOWN})
 """Answers after which the worker may be loading weights."""
 MODE_MIXED_VERSIONS = "retain"
 """Running requests continue with the new version."""
@@ -168,7 +168,7 @@
     def _report_of(self, worker: Worker) -> WorkerReport | None:
         """Return a worker's report; None without one or if another incarnation answered."""
         report = self._control.report(worker.address, REPORT_TIMEOUT_S)
-        if report is None or not worker.incarnation.is_told_by(report.born_ms):
+        if report is None or not worker.incarnation.matches_start(report.born_ms):
             return None
         return report
 
@@ -196,7 +196,7 @@
         if answer not in MAY_BE_LOADING:
             self._announce_weight_load(worker.incarnation, model, 0.0)
 
-    def _record_answer(self, load: _WeightLoad, order: VersionOrder, answer: OrderAnswer) -> None:
+    def _record_answer(self, load: _WeightLoad, order: VersionOrder, answer: OrderOutcome) -> None:
         now_s = self._now_s()
         emit(
             ORDER_SENT,
@@ -204,16 +204,16 @@
             model=order.model,
             version=order.version,
             mode=order.mode,
-            fence=order.fence,
+            fence=order.fencing_token,
             expected=order.expected_sequence,
             answer=answer.value,
         )
-        if answer is OrderAnswer.ACCEPTED:
+        if answer is OrderOutcome.ACCEPTED:
             load.accepted_s = now_s
             load.next_check_s = now_s + FIRST_CHECK_DELAY_S
-        elif answer is OrderAnswer.IN_FORCE:
+        elif answer is OrderOutcome.IN_FORCE:
             self._record_version(load, order.version)
-        elif answer is OrderAnswer.UNKNOWN:
+        elif answer is OrderOutcome.UNKNOWN:
             load.next_check_s = now_s + UNANSWERED_RETRY_DELAY_S
         else:
             load.next_check_s = now_s + CHECK_INTERVAL_S
@@ -283,7 +283,7 @@
 def _load_mode(table: RouteTable, worker: Worker) -> str:
     """Return how the load treats running requests, according to the service's routes."""
     for route in table.configuration.routes:
-        serves = any(part.service == worker.entry.service for part in route.parts)
+        serves = any(part.service == worker.entry.service for part in route.effective_backends)
         if route.kind in JOB_KINDS and route.single_version and serves:
             return MODE_SINGLE_VERSION
     return MODE_MIXED_VERSIONS
