--- a/experiments/steps.py
+++ b/experiments/steps.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 from bellweir.explanation.lines import LogLine, read_lines
-from bellweir.explanation.steps import StepTimes, at_share, steps_of
+from bellweir.explanation.steps import StepTimes, collect_steps, time_at_share
 
 SHARES = (0.5, 0.9, 1.0)
 FEWEST_EVENTS = 30
@@ -58,7 +58,7 @@
     """One step as a line."""
 
     def told(times: list[float]) -> str:
-        found = (at_share(times, share, step.items) for share in SHARES)
+        found = (time_at_share(times, share, step.items) for share in SHARES)
         return " ".join("   --" if each is None else f"{each:5.1f}" for each in found)
 
     last = step.last_needed()
@@ -83,7 +83,7 @@
     print(f"{len(workers)} workers seen, fastest {1000 * pace_s:.0f} ms an event")
     print("step items | first starts 50/90/100% | listed 50/90/100% | last end bound | last group")
     ends = bounds = 0.0
-    for step in steps_of(lines):
+    for step in collect_steps(lines):
         bound = bound_s(step, arguments.slots * len(workers), pace_s)
         print(row(step, bound))
         if step.ended_s is not None:
--- a/features/steps/explanation_steps.py
+++ b/features/steps/explanation_steps.py
@@ -7,8 +7,8 @@
 from behave import given as given_step
 from behave import then
 
+from bellweir.explanation.explanation import explain
 from bellweir.explanation.lines import read_lines
-from bellweir.explanation.story import story_of
 
 
 def line(second, node, event, **fields):
@@ -121,7 +121,7 @@
 
 @then('the explanation of "{identifier}" says "{said}"')
 def then_says(context, identifier, said):
-    sentence = story_of(identifier, read_lines([context.lines])).sentence
+    sentence = explain(identifier, read_lines([context.lines])).summary
     assert said in sentence, sentence
 
 
@@ -174,5 +174,5 @@
 
 @then('the story of "{identifier}" shows that a worker was set aside meanwhile')
 def then_meanwhile(context, identifier):
-    story = story_of(identifier, read_lines([context.lines]))
-    assert any(line.event == "worker_set_aside" for line in story.meanwhile)
+    explanation = explain(identifier, read_lines([context.lines]))
+    assert any(line.event == "worker_set_aside" for line in explanation.node_events)
--- a/features/steps/hosted_room_gateway_steps.py
+++ b/features/steps/hosted_room_gateway_steps.py
@@ -7,8 +7,8 @@
 from features.support.hosted_gateway import HOST, GatewayUnderTest
 
 from bellweir.events.log import configure_logs
-from bellweir.explanation.cause import explain
 from bellweir.explanation.lines import read_lines
+from bellweir.explanation.summary import summarize
 from bellweir.hosted.settings import RoomSettings
 from bellweir.hosted.sight.interface import WorkerStats
 from bellweir.hosted.sight.worker_load import WorkerLoad
@@ -182,7 +182,7 @@
     assert refused.fields["in_hand"] == 120, refused.fields
     assert refused.fields["slots"] == 16, refused.fields
     assert refused.fields["age_ms"] == 50, refused.fields
-    told = explain(context.answer.request_id, lines)
+    told = summarize(context.answer.request_id, lines)
     assert "could not answer in time" in told, told
     assert "120 requests at 16 slots as of 50 ms before" in told, told
 
@@ -194,7 +194,7 @@
 
 @then("the explanation of its id mentions the wait")
 def then_wait_explained(context):
-    told = explain(context.answer.request_id, lines_of(context, context.answer.request_id))
+    told = summarize(context.answer.request_id, lines_of(context, context.answer.request_id))
     assert "it waited" in told, told
     assert "(room)" in told, told
 
--- a/features/steps/hosted_whole_steps.py
+++ b/features/steps/hosted_whole_steps.py
@@ -4,8 +4,8 @@
 
 from behave import then, when
 
+from bellweir.explanation.explanation import explain
 from bellweir.explanation.lines import read_lines
-from bellweir.explanation.story import story_of
 from bellweir_rehearsal.hosted.clients import call
 from bellweir_rehearsal.hosted.day import HostedDay
 
@@ -46,17 +46,17 @@
     lines = read_lines([file.read_text(encoding="utf-8").splitlines() for file in files])
     # Of the calm step: a process that is killed loses the lines of its last instant.
     step = context.day.trainer.steps[0]
-    job = story_of(step.job_id, lines).sentence
+    job = explain(step.job_id, lines).summary
     assert "was accepted on gateway-" in job
     assert f"has {len(step.items)} of {len(step.items)} items listed" in job
-    item = story_of(step.items[0], lines).sentence
+    item = explain(step.items[0], lines).summary
     assert f"Item {step.items[0]} is listed completed" in item
     answered = next(line for line in lines if line.event == "request_answered")
     request_id = answered.text("request_id")
     assert f"Request {request_id} was answered with status 200" in (
-        story_of(request_id, lines).sentence
+        explain(request_id, lines).summary
     )
     # It also names the processes that were killed in the day, and only those.
-    nothing = story_of("nothing", lines).sentence
+    nothing = explain("nothing", lines).summary
     assert nothing.startswith("No line tells of nothing. Processes that ended without a word")
     assert "gateway-0 (started again at" in nothing
--- a/src/bellweir/cli/request_explanation.py
+++ b/src/bellweir/cli/request_explanation.py
@@ -7,8 +7,8 @@
 
 from bellweir.cli import exit_codes
 from bellweir.cli.resources.options import print_json
+from bellweir.explanation.explanation import Explanation, explain
 from bellweir.explanation.lines import LogLine, read_lines
-from bellweir.explanation.story import Story, story_of
 
 STANDARD_INPUT = "-"
 LEFT_OUT = frozenset({"event", "timestamp", "node", "level", "code", "request_id"})
@@ -26,23 +26,25 @@
             ]
         except OSError as failure:
             raise cappa.Exit(str(failure), code=exit_codes.USAGE) from failure
-        story = story_of(identifier, read_lines(sources))
+        explanation = explain(identifier, read_lines(sources))
     if output == "json":
-        print_json([line.fields for line in story.own] + [{"explanation": story.sentence}])
+        print_json(
+            [line.fields for line in explanation.own_lines] + [{"explanation": explanation.summary}]
+        )
     else:
-        _print_story(story)
-    if not story.own:
+        _print_explanation(explanation)
+    if not explanation.own_lines:
         raise cappa.Exit(f"no line tells of {identifier}", code=exit_codes.NOT_FOUND)
 
 
-def _print_story(story: Story) -> None:
-    for line in story.own:
+def _print_explanation(explanation: Explanation) -> None:
+    for line in explanation.own_lines:
         print(_shown(line))
-    if story.meanwhile:
+    if explanation.node_events:
         print("meanwhile:")
-    for line in story.meanwhile:
+    for line in explanation.node_events:
         print(f"  {_shown(line)}")
-    print(story.sentence)
+    print(explanation.summary)
 
 
 def _shown(line: LogLine) -> str:
--- a/src/bellweir/events/bounded.py
+++ b/src/bellweir/events/bounded.py
@@ -16,29 +16,29 @@
 
 from bellweir.events.event import Event
 
-LINES_A_SECOND = 200
+MAX_LINES_PER_SECOND = 200
 """Lines that one event may write in a second of the steady clock."""
-QUEUED_LINES = 2_000
-TELL_PERIOD_S = 5.0
+MAX_QUEUED_LINES = 2_000
+REPORT_INTERVAL_S = 5.0
 """Time between two lines that tell what was left out."""
-WAIT_S = 1.0
-BLOCK_CHARACTERS = 3_500
+WAIT_TIMEOUT_S = 1.0
+MAX_BLOCK_CHARACTERS = 3_500
 """Lines written at once. Pipes take a page as a whole, and some collectors cut longer writes."""
 
 
 class BoundedLog(io.TextIOBase):
     """Stands where `structlog` wants a text stream; `admits` is asked before a line is made."""
 
-    def __init__(self, stream: TextIO, left_out_event: Event) -> None:
+    def __init__(self, stream: TextIO, dropped_event: Event) -> None:
         self._stream = stream
-        self._left_out_event = left_out_event
+        self._dropped_event = dropped_event
         self._lock = threading.Lock()
         self._ready = threading.Condition(self._lock)
         self._lines: deque[str] = deque()
-        self._second = 0
-        self._written: Counter[str] = Counter()
-        self._left_out: Counter[str] = Counter()
-        self._tell_due_s = time.monotonic() + TELL_PERIOD_S
+        self._counted_second = 0
+        self._written_counts: Counter[str] = Counter()
+        self._dropped: Counter[str] = Counter()
+        self._report_due_s = time.monotonic() + REPORT_INTERVAL_S
         self._closed = False
         self._thread = threading.Thread(target=self._write_lines, name="log-writer", daemon=True)
         self._thread.start()
@@ -48,14 +48,14 @@
         with self._lock:
             if event.is_final:
                 return True
-            second = int(time.monotonic())
-            if second != self._second:
-                self._second = second
-                self._written.clear()
-            self._written[event.name] += 1
-            too_many = self._written[event.name] > LINES_A_SECOND
-            if too_many or len(self._lines) >= QUEUED_LINES:
-                self._left_out[event.name] += 1
+            current_second = int(time.monotonic())
+            if current_second != self._counted_second:
+                self._counted_second = current_second
+                self._written_counts.clear()
+            self._written_counts[event.name] += 1
+            exceeds_rate = self._written_counts[event.name] > MAX_LINES_PER_SECOND
+            if exceeds_rate or len(self._lines) >= MAX_QUEUED_LINES:
+                self._dropped[event.name] += 1
                 return False
             return True
 
@@ -73,7 +73,7 @@
         """Tell that it can be written to."""
         return True
 
-    def close(self, timeout_s: float = WAIT_S) -> None:
+    def close(self, timeout_s: float = WAIT_TIMEOUT_S) -> None:
         """Write what waits, for at most `timeout_s`, and end."""
         with self._lock:
             self._closed = True
@@ -83,13 +83,13 @@
     def _write_lines(self) -> None:
         while True:
             with self._lock:
-                self._ready.wait_for(lambda: self._lines or self._closed, WAIT_S)
-                pieces = list(self._lines)
+                self._ready.wait_for(lambda: self._lines or self._closed, WAIT_TIMEOUT_S)
+                lines = list(self._lines)
                 self._lines.clear()
                 is_last = self._closed
-                pieces.append(self._tell_left_out(is_last))
+                lines.append(self._report_dropped(is_last))
             try:
-                for block in _blocks(pieces):
+                for block in _join_blocks(lines):
                     self._stream.write(block)
                     self._stream.flush()
             except (OSError, ValueError):
@@ -98,26 +98,26 @@
                 self._stream.close()
                 return
 
-    def _tell_left_out(self, is_last: bool) -> str:
+    def _report_dropped(self, is_last: bool) -> str:
         """A line with the counts when it is due; empty otherwise. Called under the lock."""
-        is_due = is_last or time.monotonic() >= self._tell_due_s
-        if not self._left_out or not is_due:
+        is_due = is_last or time.monotonic() >= self._report_due_s
+        if not self._dropped or not is_due:
             return ""
-        self._tell_due_s = time.monotonic() + TELL_PERIOD_S
-        event = self._left_out_event
-        counts = dict(self._left_out)
-        self._left_out.clear()
+        self._report_due_s = time.monotonic() + REPORT_INTERVAL_S
+        event = self._dropped_event
+        counts = dict(self._dropped)
+        self._dropped.clear()
         line = {"code": event.code, "counts": counts, "event": event.name}
         return json.dumps({**line, "level": event.level.value}) + "\n"
 
 
-def _blocks(pieces: list[str]) -> Iterator[str]:
+def _join_blocks(lines: list[str]) -> Iterator[str]:
     """The pieces joined to blocks of whole ones; a longer piece is a block of its own."""
     block = ""
-    for piece in pieces:
-        if block and len(block) + len(piece) > BLOCK_CHARACTERS:
+    for line in lines:
+        if block and len(block) + len(line) > MAX_BLOCK_CHARACTERS:
             yield block
             block = ""
-        block += piece
+        block += line
     if block:
         yield block
--- a/src/bellweir/explanation/story.py
+++ b/src/bellweir/explanation/explanation.py
@@ -3,12 +3,12 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from bellweir.explanation.cause import WORKER_EVENTS, explain
 from bellweir.explanation.lines import LogLine
+from bellweir.explanation.summary import WORKER_EVENTS, summarize
 
-AROUND_S = 2.0
+CONTEXT_WINDOW_S = 2.0
 """Time around the id's own lines in which events of its nodes are shown."""
-MEANWHILE = frozenset(
+NODE_EVENTS = frozenset(
     {
         "process_started",
         "process_draining",
@@ -35,54 +35,54 @@
 
 
 @dataclass(frozen=True)
-class Story:
+class Explanation:
     """What is known of one id."""
 
-    own: tuple[LogLine, ...]
-    meanwhile: tuple[LogLine, ...]
+    own_lines: tuple[LogLine, ...]
+    node_events: tuple[LogLine, ...]
     """Changes at its nodes around the time of its own lines."""
-    sentence: str
+    summary: str
 
 
-def story_of(identifier: str, lines: Sequence[LogLine]) -> Story:
+def explain(identifier: str, lines: Sequence[LogLine]) -> Explanation:
     """The story of a request, an item, a job or a worker; `lines` in order of time."""
-    own = [line for line in lines if _is_about(line, identifier)]
-    if not own:
-        return Story((), (), explain(identifier, []) + _lost_lives(lines))
+    own_lines = [line for line in lines if _is_about(line, identifier)]
+    if not own_lines:
+        return Explanation((), (), summarize(identifier, []) + _killed_processes(lines))
     # Ends and readings of a job may be asked for long after its items are done.
-    runs = [line for line in own if line.event.startswith("item_")] or own
-    first_s, last_s = runs[0].seconds() - AROUND_S, runs[-1].seconds() + AROUND_S
-    nodes = {line.node for line in own}
-    meanwhile = [
+    runs = [line for line in own_lines if line.event.startswith("item_")] or own_lines
+    first_s, last_s = runs[0].seconds() - CONTEXT_WINDOW_S, runs[-1].seconds() + CONTEXT_WINDOW_S
+    nodes = {line.node for line in own_lines}
+    node_events = [
         line
         for line in lines
-        if line.event in MEANWHILE and line.node in nodes and first_s <= line.seconds() <= last_s
+        if line.event in NODE_EVENTS and line.node in nodes and first_s <= line.seconds() <= last_s
     ]
     known = sorted(
-        [*own, *(line for line in meanwhile if line.event == "coordination_taken")],
+        [*own_lines, *(line for line in node_events if line.event == "coordination_taken")],
         key=lambda line: line.time,
     )
-    is_job = any(line.fields.get("job") == identifier for line in own)
-    sentence = explain(identifier, known if is_job else own)
-    return Story(tuple(own), tuple(meanwhile), sentence)
+    is_job = any(line.fields.get("job") == identifier for line in own_lines)
+    summary = summarize(identifier, known if is_job else own_lines)
+    return Explanation(tuple(own_lines), tuple(node_events), summary)
 
 
-def _lost_lives(lines: Sequence[LogLine]) -> str:
+def _killed_processes(lines: Sequence[LogLine]) -> str:
     """Processes that died without a word: what they held in hand has no line."""
-    ended: set[str] = set()
-    begun: set[str] = set()
-    lost: list[str] = []
+    stopped: set[str] = set()
+    started: set[str] = set()
+    killed: list[str] = []
     for line in lines:
         if line.event == "process_stopped":
-            ended.add(line.node)
+            stopped.add(line.node)
         elif line.event == "process_started":
-            if line.node in begun and line.node not in ended:
-                lost.append(f"{line.node} (started again at {line.time})")
-            begun.add(line.node)
-            ended.discard(line.node)
-    if not lost:
+            if line.node in started and line.node not in stopped:
+                killed.append(f"{line.node} (started again at {line.time})")
+            started.add(line.node)
+            stopped.discard(line.node)
+    if not killed:
         return ""
-    return f" Processes that ended without a word may have held it: {', '.join(lost)}."
+    return f" Processes that ended without a word may have held it: {', '.join(killed)}."
 
 
 def _is_about(line: LogLine, identifier: str) -> bool:
--- a/src/bellweir/explanation/steps.py
+++ b/src/bellweir/explanation/steps.py
@@ -8,7 +8,7 @@
 
 from bellweir.explanation.lines import LogLine
 
-LONG_WAIT_S = 0.5
+MIN_REPORTED_WAIT_S = 0.5
 """A first start so long after the job's acceptance is worth telling."""
 
 
@@ -62,39 +62,41 @@
         return self.groups[min(wanted, len(self.groups)) - 1] if self.groups else None
 
 
-def at_share(times: Sequence[float], share: float, count: int) -> float | None:
+def time_at_share(times: Sequence[float], share: float, count: int) -> float | None:
     """The time by which a share of `count` had come; None when it never had.
 
-    >>> at_share([0.1, 0.2, 0.9], 0.5, 4), at_share([0.1, 0.2, 0.9], 1.0, 4)
+    >>> time_at_share([0.1, 0.2, 0.9], 0.5, 4), time_at_share([0.1, 0.2, 0.9], 1.0, 4)
     (0.2, None)
     """
     needed = max(1, round(share * count))
     return times[needed - 1] if len(times) >= needed else None
 
 
-def steps_of(lines: Iterable[LogLine]) -> list[StepTimes]:
+def collect_steps(lines: Iterable[LogLine]) -> list[StepTimes]:
     """The steps that the lines tell of, in order of their acceptance."""
-    found: dict[str, StepTimes] = {}
-    of_item: dict[str, dict[str, list[LogLine]]] = {}
+    steps: dict[str, StepTimes] = {}
+    lines_by_item: dict[str, dict[str, list[LogLine]]] = {}
     takeovers: list[float] = []
     for line in lines:
         if line.event == "job_accepted":
-            found.setdefault(line.text("request_id"), StepTimes(line))
-        elif line.event == "job_ended" and line.text("request_id") in found:
-            step = found[line.text("request_id")]
+            steps.setdefault(line.text("request_id"), StepTimes(line))
+        elif line.event == "job_ended" and line.text("request_id") in steps:
+            step = steps[line.text("request_id")]
             if step.ended_s is None:
                 step.ended_s = line.seconds() - step.accepted_s
         elif line.event == "coordination_taken":
             takeovers.append(line.seconds())
         elif line.event.startswith("item_"):
-            items = of_item.setdefault(line.text("job"), {})
+            items = lines_by_item.setdefault(line.text("job"), {})
             items.setdefault(line.text("request_id"), []).append(line)
-    for step in found.values():
-        _fill(step, of_item.get(step.job, {}), takeovers)
-    return sorted(found.values(), key=lambda step: step.accepted_s)
+    for step in steps.values():
+        _fill_step(step, lines_by_item.get(step.job, {}), takeovers)
+    return sorted(steps.values(), key=lambda step: step.accepted_s)
 
 
-def _fill(step: StepTimes, items: dict[str, list[LogLine]], takeovers: Sequence[float]) -> None:
+def _fill_step(
+    step: StepTimes, items: dict[str, list[LogLine]], takeovers: Sequence[float]
+) -> None:
     groups: dict[str, list[str]] = {}
     for item, lines in items.items():
         starts = [line for line in lines if line.event == "item_started"]
@@ -107,11 +109,13 @@
         step.events[item] = max(int(line.number("events")) for line in lines)
     step.started_s.sort()
     step.listed_s.sort()
-    step.groups = [_group(step, name, group, items, takeovers) for name, group in groups.items()]
+    step.groups = [
+        _group_times(step, name, group, items, takeovers) for name, group in groups.items()
+    ]
     step.groups.sort(key=lambda group: (group.listed_s is None, group.listed_s or 0.0))
 
 
-def _group(
+def _group_times(
     step: StepTimes,
     name: str,
     names: Sequence[str],
@@ -125,23 +129,25 @@
     last = max(names, key=lambda item: (end_of(item), step.events[item]))
     end_s = end_of(last)
     is_whole = end_s != float("inf")
-    cause = _cause(step, items[last], end_s, takeovers)
+    cause = _describe_delay(step, items[last], end_s, takeovers)
     return GroupTimes(name, len(names), end_s if is_whole else None, cause)
 
 
-def _cause(
+def _describe_delay(
     step: StepTimes, lines: Sequence[LogLine], end_s: float, takeovers: Sequence[float]
 ) -> str:
     """What an item waited for, the longest in words for people."""
     parts: list[str] = []
     starts = [line for line in lines if line.event == "item_started"]
     waited_s = starts[0].seconds() - step.accepted_s if starts else end_s
-    if waited_s >= LONG_WAIT_S:
+    if waited_s >= MIN_REPORTED_WAIT_S:
         parts.append(f"waited {waited_s:.1f} s for a place")
     parts.append(f"a text of {step.events[lines[0].text('request_id')]} events")
-    lost = [at_s - step.accepted_s for at_s in takeovers if 0 < at_s - step.accepted_s < end_s]
-    if lost:
-        parts.append(f"another leader at {', '.join(f'{at_s:.1f}' for at_s in lost)} s")
+    leader_changes = [
+        at_s - step.accepted_s for at_s in takeovers if 0 < at_s - step.accepted_s < end_s
+    ]
+    if leader_changes:
+        parts.append(f"another leader at {', '.join(f'{at_s:.1f}' for at_s in leader_changes)} s")
     moved = Counter(line.text("cause") for line in lines if line.event == "item_moved")
     parts += [f"moved {count} x ({cause})" for cause, count in moved.most_common()]
     broken = Counter(
--- a/src/bellweir/explanation/cause.py
+++ b/src/bellweir/explanation/summary.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable, Sequence
 
 from bellweir.explanation.lines import LogLine
-from bellweir.explanation.steps import steps_of
+from bellweir.explanation.steps import collect_steps
 
 CAUSES = {
     "workers_full": "each worker that was tried said that it had no room and had not run it",
@@ -20,51 +20,51 @@
 }
 WORKER_EVENTS = frozenset({"worker_set_aside", "worker_returned"})
 """Events that tell of a worker by its id."""
-MOST_ITEMS_SHOWN = 3
-MOST_GROUPS_SHOWN = 3
+MAX_ITEMS_SHOWN = 3
+MAX_GROUPS_SHOWN = 3
 
 
-def explain(identifier: str, lines: Sequence[LogLine]) -> str:
+def summarize(identifier: str, lines: Sequence[LogLine]) -> str:
     """A sentence on `identifier`, from its own lines in order of time."""
     if not lines:
         return f"No line tells of {identifier}."
     of_job = [line for line in lines if line.fields.get("job") == identifier]
     if of_job or any(line.event.startswith("job_") for line in lines):
-        return _explain_job(identifier, lines, of_job)
+        return _summarize_job(identifier, lines, of_job)
     if any(line.event.startswith("item_") for line in lines):
-        return _explain_item(identifier, lines)
+        return _summarize_item(identifier, lines)
     if lines[0].event in WORKER_EVENTS:
-        return _explain_worker(identifier, lines)
-    return _explain_request(identifier, lines)
+        return _summarize_worker(identifier, lines)
+    return _summarize_request(identifier, lines)
 
 
-def _explain_worker(identifier: str, lines: Sequence[LogLine]) -> str:
-    said = [
+def _summarize_worker(identifier: str, lines: Sequence[LogLine]) -> str:
+    outcome = [
         part
         for part in (
-            _set_aside([line for line in lines if line.event == "worker_set_aside"]),
-            _returned([line for line in lines if line.event == "worker_returned"]),
+            _summarize_quarantines([line for line in lines if line.event == "worker_set_aside"]),
+            _summarize_returns([line for line in lines if line.event == "worker_returned"]),
         )
         if part
     ]
-    return f"Worker {identifier} {'; it '.join(said)}."
+    return f"Worker {identifier} {'; it '.join(outcome)}."
 
 
-def _set_aside(lines: Sequence[LogLine]) -> str:
+def _summarize_quarantines(lines: Sequence[LogLine]) -> str:
     if not lines:
         return ""
     first = lines[0]
-    causes = Counter(line.text("cause") for line in lines)
-    told = ", ".join(f"{count} x {cause}" for cause, count in causes.most_common())
+    cause_counts = Counter(line.text("cause") for line in lines)
+    parts = ", ".join(f"{count} x {cause}" for cause, count in cause_counts.most_common())
     nodes = len({line.node for line in lines})
     return (
-        f"was set aside {len(lines)} times by {nodes} gateways ({told}), first on {first.node} at"
+        f"was set aside {len(lines)} times by {nodes} gateways ({parts}), first on {first.node} at"
         f" {first.time}: {first.text('failed')} failed and {first.text('served')} served with a"
         f" median of {first.text('usual_ms')} ms, beside {first.text('fellow')} of its fellow"
     )
 
 
-def _returned(lines: Sequence[LogLine]) -> str:
+def _summarize_returns(lines: Sequence[LogLine]) -> str:
     if not lines:
         return "has no line of its return"
     last = lines[-1]
@@ -72,63 +72,65 @@
     return f"returned {len(lines)} times, {when} ({last.text('cause')})"
 
 
-def _explain_request(identifier: str, lines: Sequence[LogLine]) -> str:
+def _summarize_request(identifier: str, lines: Sequence[LogLine]) -> str:
     last = lines[-1]
-    tries = _waits(lines) + _tries([line for line in lines if line.event == "attempt_failed"])
+    details = _summarize_waits(lines) + _failed_attempts(
+        [line for line in lines if line.event == "attempt_failed"]
+    )
     if last.event == "request_answered":
         workers = ", ".join(last.fields.get("instance") or ["a worker"])
-        said = f"was answered with status {last.text('status')} by {workers}"
-        return f"Request {identifier} {said} after {last.text('ms')} ms{tries}."
+        outcome = f"was answered with status {last.text('status')} by {workers}"
+        return f"Request {identifier} {outcome} after {last.text('ms')} ms{details}."
     if last.event == "request_given_up":
         cause = last.text("cause")
         why = CAUSES.get(cause, cause)
-        said = f"was given up with status {last.text('status')} after {last.text('ms')} ms"
+        outcome = f"was given up with status {last.text('status')} after {last.text('ms')} ms"
         under = f"under configuration {last.text('configuration')}"
-        return f"Request {identifier} {said} on {last.node}, {under}: {why}{tries}."
+        return f"Request {identifier} {outcome} on {last.node}, {under}: {why}{details}."
     if last.event == "client_left":
-        return f"Request {identifier}: its client left before there was an answer{tries}."
+        return f"Request {identifier}: its client left before there was an answer{details}."
     if last.event == "job_not_accepted":
         return f"Batch job {identifier} was not accepted on {last.node}: {last.text('cause')}."
     return (
         f"Request {identifier} has no last line: {last.node} ended or the line is not in these "
-        f"logs; the newest one is {last.event}{tries}."
+        f"logs; the newest one is {last.event}{details}."
     )
 
 
-def _waits(lines: Sequence[LogLine]) -> str:
+def _summarize_waits(lines: Sequence[LogLine]) -> str:
     """What a request's wait for room, or its refusal, rested on."""
-    told = []
+    parts = []
     for line in lines:
         if line.event not in ("request_queued", "request_refused"):
             continue
         what = "waited" if line.event == "request_queued" else "was refused after a wait of"
         why = line.text("release") or line.text("why")
-        told.append(
+        parts.append(
             f"; it {what} {line.text('waited_ms')} ms ({why}): an answer of "
             f"{line.text('service')} was expected after {line.text('expected_ms')} ms, with "
             f"{line.text('in_hand')} requests at {line.text('slots')} slots as of "
             f"{line.text('age_ms')} ms before"
         )
-    return "".join(told)
+    return "".join(parts)
 
 
-def _tries(failed: Sequence[LogLine]) -> str:
+def _failed_attempts(failed: Sequence[LogLine]) -> str:
     if not failed:
         return ""
-    told = [
+    parts = [
         f"{line.text('instance')} {line.text('outcome')}"
         + (f" ({line.text('detail')})" if line.text("detail") else "")
         for line in failed
     ]
-    return f"; failed attempts: {'; '.join(told)}"
+    return f"; failed attempts: {'; '.join(parts)}"
 
 
-def _explain_item(identifier: str, lines: Sequence[LogLine]) -> str:
+def _summarize_item(identifier: str, lines: Sequence[LogLine]) -> str:
     starts = sum(line.event == "item_started" for line in lines)
     broken = [line for line in lines if line.event == "item_broken"]
     listed = next((line for line in lines if line.event == "item_listed"), None)
-    causes = _counted(line.text("cause") for line in broken)
-    tail = f"; broken runs: {causes}" if broken else ""
+    cause_counts = _counted(line.text("cause") for line in broken)
+    tail = f"; broken runs: {cause_counts}" if broken else ""
     if listed is None:
         return f"Item {identifier} was started {starts} times and is not listed{tail}."
     seconds = listed.seconds() - lines[0].seconds()
@@ -138,7 +140,7 @@
     )
 
 
-def _explain_job(identifier: str, lines: Sequence[LogLine], of_job: Sequence[LogLine]) -> str:
+def _summarize_job(identifier: str, lines: Sequence[LogLine], of_job: Sequence[LogLine]) -> str:
     own = [line for line in lines if line.fields.get("request_id") == identifier]
     accepted = next((line for line in own if line.event == "job_accepted"), None)
     refused = [line for line in own if line.event == "job_not_accepted"]
@@ -149,18 +151,18 @@
     listed = [line for line in of_job if line.event == "item_listed"]
     broken = [line for line in of_job if line.event == "item_broken"]
     since = accepted.seconds()
-    latest = sorted(listed, key=lambda line: line.time)[-MOST_ITEMS_SHOWN:]
+    latest = sorted(listed, key=lambda line: line.time)[-MAX_ITEMS_SHOWN:]
     parts = [
         f"Batch job {identifier} (step {accepted.text('step')}) was accepted on {accepted.node} "
         f"and has {len(listed)} of {accepted.text('items')} items listed"
     ]
     if latest:
-        told = ", ".join(
+        item_times = ", ".join(
             f"{line.text('request_id')} after {line.seconds() - since:.1f} s" for line in latest
         )
-        parts.append(f"the last ones: {told}")
-    parts += _late_groups(identifier, lines)
-    parts += _worst_order(own, since)
+        parts.append(f"the last ones: {item_times}")
+    parts += _summarize_late_groups(identifier, lines)
+    parts += _summarize_worst_order(own, since)
     if broken:
         parts.append(f"{len(broken)} runs broke: {_counted(line.text('cause') for line in broken)}")
     leaders = [line.node for line in lines if line.event == "coordination_taken"]
@@ -171,31 +173,33 @@
     return "; ".join(parts) + "."
 
 
-def _late_groups(identifier: str, lines: Sequence[LogLine]) -> list[str]:
+def _summarize_late_groups(identifier: str, lines: Sequence[LogLine]) -> list[str]:
     """The groups that were whole last, or never, each with what its last item waited for."""
-    groups = [group for step in steps_of(lines) if step.job == identifier for group in step.groups]
+    groups = [
+        group for step in collect_steps(lines) if step.job == identifier for group in step.groups
+    ]
     return [
         f"group {group.name} was "
         + (f"whole after {group.listed_s:.1f} s" if group.listed_s is not None else "never whole")
         + f" ({group.cause})"
-        for group in groups[-MOST_GROUPS_SHOWN:]
+        for group in groups[-MAX_GROUPS_SHOWN:]
     ]
 
 
-def _worst_order(own: Sequence[LogLine], since_s: float) -> list[str]:
+def _summarize_worst_order(own: Sequence[LogLine], since_s: float) -> list[str]:
     """How a step stood beside others when most of its groups could not be in time."""
     orders = [line for line in own if line.event == "step_ordered" and line.number("late_groups")]
     if not orders:
         return []
     worst = max(orders, key=lambda line: line.number("late_groups"))
-    told = {name: f"{worst.number(name):g}" for name in _ORDER_FIELDS}
+    values = {name: f"{worst.number(name):g}" for name in _ORDER_FIELDS}
     due_in_s = worst.number("due_ms") / 1000
     return [
         f"after {worst.seconds() - since_s:.1f} s, {due_in_s:.1f} s before it was due, "
-        f"{told['late_groups']} of the {told['wanted_groups']} groups that it still wanted "
-        f"could not be in time: {told['left_events']} events were left, {told['waiting']} texts at "
-        f"no worker and {told['running']} at one, for {told['steps']} steps on {told['places']} "
-        f"places of {told['pace_ms']} ms an event"
+        f"{values['late_groups']} of the {values['wanted_groups']} groups that it still wanted "
+        f"could not be in time: {values['left_events']} events were left, "
+        f"{values['waiting']} texts at no worker and {values['running']} at one, for "
+        f"{values['steps']} steps on {values['places']} places of {values['pace_ms']} ms an event"
     ]
 
 
--- a/src/bellweir/hosted/metrics_service.py
+++ b/src/bellweir/hosted/metrics_service.py
@@ -22,10 +22,10 @@
 
 PATH = "/metrics"
 THREADS = 2
-MAXIMUM_BODY_BYTES = 1 << 16
-BIND_RETRY_S = 2.0
+MAX_BODY_BYTES = 1 << 16
+BIND_RETRY_INTERVAL_S = 2.0
 """Pause before an address that is in use is tried again: long enough to log one line each time."""
-LONGEST_AGE_S = 1e6
+MAX_AGE_S = 1e6
 """Shown for a view that was never current."""
 
 
@@ -43,7 +43,7 @@
         self._lock = threading.Lock()
         self._server: HttpServer | None = None
         self._stopped = False
-        self._began_s = time.monotonic()
+        self._started_s = time.monotonic()
 
     def start(self) -> None:
         """Add the gauges of all roles and listen, where an address is set."""
@@ -56,12 +56,12 @@
         listener = self._bind(address, stopping)
         if listener is None:
             return
-        limits = ServerLimits(THREADS, MAXIMUM_BODY_BYTES)
+        limits = ServerLimits(THREADS, MAX_BODY_BYTES)
         server = HttpServer(SimpleApplication(self._answer), listener, limits)
         with self._lock:
             self._server = server
-            is_late = self._stopped
-        if is_late:
+            was_stopped = self._stopped
+        if was_stopped:
             server.close_all()
         server.run_until_closed(stopping)
 
@@ -70,9 +70,9 @@
         while not stopping.is_set() and not self._stopped:
             try:
                 return bind_address(address)
-            except OSError as failure:
-                emit(METRICS_UNAVAILABLE, address=address, error=repr(failure))
-            stopping.wait(BIND_RETRY_S)
+            except OSError as exc:
+                emit(METRICS_UNAVAILABLE, address=address, error=repr(exc))
+            stopping.wait(BIND_RETRY_INTERVAL_S)
         return None
 
     def stop(self) -> None:
@@ -96,17 +96,17 @@
         add(
             "bellweir_configuration_version",
             "Version of the configuration in force; 0 without one.",
-            lambda: float(found.version) if (found := table()) else 0.0,
+            lambda: float(configuration.version) if (configuration := table()) else 0.0,
         )
         add(
             "bellweir_configuration_age_seconds",
             "Time since the configuration was last known to be the store's.",
-            lambda: min(LONGEST_AGE_S, views.configuration_follower.age_s()),
+            lambda: min(MAX_AGE_S, views.configuration_follower.age_s()),
         )
         add(
             "bellweir_workers_age_seconds",
             "Time since the list of workers was last known to be the store's.",
-            lambda: min(LONGEST_AGE_S, views.workers_follower.age_s()),
+            lambda: min(MAX_AGE_S, views.workers_follower.age_s()),
         )
         add(
             "bellweir_workers_started_again",
@@ -137,5 +137,5 @@
         add(
             "bellweir_uptime_seconds",
             "Time since the process was composed.",
-            lambda: time.monotonic() - self._began_s,
+            lambda: time.monotonic() - self._started_s,
         )
--- a/src/bellweir/hosted/node_settings.py
+++ b/src/bellweir/hosted/node_settings.py
@@ -14,7 +14,7 @@
     from bellweir.settings.models import Settings
 
 
-FIRST_START_SPREAD_S = 3.0
+FIRST_START_JITTER_S = 3.0
 """Time over which store machines spread their first looks at shared objects of the store.
 
 At the first start of all they look for objects that one of them has to make, and the others are
@@ -83,7 +83,7 @@
     """The shared packages' view of the settings."""
     node = settings.node
     folder = Path(node.data_folder) if node.data_folder is not None else None
-    made = _Settings(
+    shared = _Settings(
         _Node(node.name, node.zone, node.region, folder),
         _Trust(),
         _NetworkFaults(),
@@ -91,11 +91,11 @@
         _Ledger(
             replicas=settings.tolerate.replicas,
             creation_least=settings.tolerate.machines + 1,
-            creation_spread_s=FIRST_START_SPREAD_S if node.bootstrap else 0.0,
+            creation_spread_s=FIRST_START_JITTER_S if node.bootstrap else 0.0,
         ),
         _Platform(settings.store.address),
     )
-    return cast("Settings", made)
+    return cast("Settings", shared)
 
 
 def seed_addresses(settings: HostedSettings) -> tuple[str, ...]:
@@ -105,7 +105,7 @@
     return tuple(f"{host}:{settings.node.peer_port}" for host in hosts if host != own)
 
 
-def seeds_to_ask(settings: HostedSettings) -> tuple[str, ...]:
+def startup_seed_addresses(settings: HostedSettings) -> tuple[str, ...]:
     """Peer addresses that this node asks first when it starts; none for a seed itself.
 
     The seeds read the platform's store at once, so that somebody does.
--- a/src/bellweir/hosted/process.py
+++ b/src/bellweir/hosted/process.py
@@ -25,7 +25,7 @@
     SETTINGS_UNKNOWN,
 )
 from bellweir.hosted.metrics_service import MetricsService
-from bellweir.hosted.node_settings import node_settings, seeds_to_ask
+from bellweir.hosted.node_settings import node_settings, startup_seed_addresses
 from bellweir.hosted.peer_records import PeerRecords
 from bellweir.hosted.placement_objects import PlacementService
 from bellweir.hosted.settings import (
@@ -86,7 +86,7 @@
         add(MembershipService(kernel, shared))
         add(PlacementService(store))
         add(LedgerService(kernel, shared))
-        seeds, seed_wait_s = seeds_to_ask(settings), _seed_wait_s(settings)
+        seeds, seed_wait_s = startup_seed_addresses(settings), _seed_wait_s(settings)
         add(ViewsService(kernel, store, seeds, seed_wait_s, entries))
         add(PeerRecords(kernel, store, is_first_start=settings.node.bootstrap))
         add(MetricsService(kernel, settings, store))
--- a/src/bellweir/hosted/settings.py
+++ b/src/bellweir/hosted/settings.py
@@ -20,7 +20,7 @@
 
 
 SOURCE = "settings file"
-LONGEST_QUEUE = 128
+MAX_QUEUE_LENGTH = 128
 """Threads of a gateway that may wait for one service; the others go on serving."""
 
 
@@ -228,58 +228,58 @@
     """Read and check a settings file. Raises `SettingsError`."""
     try:
         content = path.read_bytes()
-    except OSError as failure:
-        raise SettingsError((_finding("", str(failure), "a readable file"),)) from failure
+    except OSError as exc:
+        raise SettingsError((_finding("", str(exc), "a readable file"),)) from exc
     return parse_settings(content)
 
 
 def parse_settings(content: bytes) -> LoadedSettings:
     """Check settings in JSON. Raises `SettingsError` with all findings."""
     try:
-        plain = msgspec.json.decode(content)
-    except (msgspec.DecodeError, UnicodeDecodeError) as failure:
-        raise SettingsError((_finding("", str(failure), "JSON"),)) from failure
-    findings = list(_check_struct("", plain, HostedSettings))
+        raw = msgspec.json.decode(content)
+    except (msgspec.DecodeError, UnicodeDecodeError) as exc:
+        raise SettingsError((_finding("", str(exc), "JSON"),)) from exc
+    findings = list(_check_struct("", raw, HostedSettings))
     if findings:
         raise SettingsError(tuple(findings))
-    settings = msgspec.convert(plain, HostedSettings)
+    settings = msgspec.convert(raw, HostedSettings)
     findings = list(_check_values(settings))
     if findings:
         raise SettingsError(tuple(findings))
-    return LoadedSettings(settings, tuple(_unknown_keys("", plain, HostedSettings)))
+    return LoadedSettings(settings, tuple(_unknown_keys("", raw, HostedSettings)))
 
 
-def _check_struct(place: str, plain: Any, expected: type[msgspec.Struct]) -> Iterator[Finding]:
+def _check_struct(key_path: str, raw: Any, expected: type[msgspec.Struct]) -> Iterator[Finding]:
     """Findings of each key by itself, so that one wrong key does not hide another."""
-    if not isinstance(plain, Mapping):
-        yield _finding(place, repr(plain)[:60], "a table")
+    if not isinstance(raw, Mapping):
+        yield _finding(key_path, repr(raw)[:60], "a table")
         return
     for known in msgspec.structs.fields(expected):
-        where = f"{place}.{known.encode_name}".lstrip(".")
-        if known.encode_name not in plain:
+        child_path = f"{key_path}.{known.encode_name}".lstrip(".")
+        if known.encode_name not in raw:
             if known.required:
-                yield _finding(where, "nothing", "a value")
+                yield _finding(child_path, "nothing", "a value")
         elif isinstance(known.type, type) and issubclass(known.type, msgspec.Struct):
-            yield from _check_struct(where, plain[known.encode_name], known.type)
+            yield from _check_struct(child_path, raw[known.encode_name], known.type)
         else:
-            yield from _check_value(where, plain[known.encode_name], known.type)
+            yield from _check_value(child_path, raw[known.encode_name], known.type)
 
 
-def _check_value(where: str, plain: Any, expected: Any) -> Iterator[Finding]:
+def _check_value(child_path: str, raw: Any, expected: Any) -> Iterator[Finding]:
     try:
-        msgspec.convert(plain, expected)
-    except msgspec.ValidationError as failure:
-        yield _finding(where, repr(plain)[:60], str(failure))
+        msgspec.convert(raw, expected)
+    except msgspec.ValidationError as exc:
+        yield _finding(child_path, repr(raw)[:60], str(exc))
 
 
-def _unknown_keys(place: str, plain: Any, expected: type[msgspec.Struct]) -> Iterator[str]:
+def _unknown_keys(key_path: str, raw: Any, expected: type[msgspec.Struct]) -> Iterator[str]:
     known = {each.encode_name: each.type for each in msgspec.structs.fields(expected)}
-    for key, value in plain.items():
-        where = f"{place}.{key}".lstrip(".")
+    for key, value in raw.items():
+        child_path = f"{key_path}.{key}".lstrip(".")
         if key not in known:
-            yield where
+            yield child_path
         elif isinstance(known[key], type) and issubclass(known[key], msgspec.Struct):
-            yield from _unknown_keys(where, value, known[key])
+            yield from _unknown_keys(child_path, value, known[key])
 
 
 def _check_values(settings: HostedSettings) -> Iterator[Finding]:
@@ -298,9 +298,9 @@
         yield _finding("sight.tryShare", str(settings.sight.try_share), "0 or more")
     if not 0 <= settings.room.wait_share <= 1:
         yield _finding("room.waitShare", str(settings.room.wait_share), "0 to 1")
-    if not 1 <= settings.room.longest_queue <= LONGEST_QUEUE:
+    if not 1 <= settings.room.longest_queue <= MAX_QUEUE_LENGTH:
         yield _finding(
-            "room.longestQueue", str(settings.room.longest_queue), f"1 to {LONGEST_QUEUE}"
+            "room.longestQueue", str(settings.room.longest_queue), f"1 to {MAX_QUEUE_LENGTH}"
         )
     if settings.bounds.lease_ms <= 0:
         yield _finding("bounds.leaseMs", str(settings.bounds.lease_ms), "above 0")
@@ -317,7 +317,7 @@
 
 
 def _check_addresses(settings: HostedSettings) -> Iterator[Finding]:
-    named = {
+    addresses = {
         "listen.requests": settings.listen.requests,
         "listen.readiness": settings.listen.readiness,
         "listen.directory": settings.listen.directory,
@@ -326,10 +326,10 @@
         "usage.address": settings.usage.address,
         "scaling.address": settings.scaling.address,
     }
-    named |= {f"node.seeds.{number}": seed for number, seed in enumerate(settings.node.seeds)}
-    for place, address in named.items():
+    addresses |= {f"node.seeds.{number}": seed for number, seed in enumerate(settings.node.seeds)}
+    for key_path, address in addresses.items():
         if address is not None and not _is_address(address):
-            yield _finding(place, repr(address), "host:port")
+            yield _finding(key_path, repr(address), "host:port")
 
 
 def _is_address(address: str) -> bool:
@@ -337,5 +337,5 @@
     return bool(separator and host) and port.isdigit() and 0 < int(port) <= 65_535
 
 
-def _finding(place: str, found: str, allowed: str) -> Finding:
-    return Finding(SOURCE, place, found, allowed)
+def _finding(key_path: str, found: str, allowed: str) -> Finding:
+    return Finding(SOURCE, key_path, found, allowed)
--- a/src/bellweir/hosted/weights/service.py
+++ b/src/bellweir/hosted/weights/service.py
@@ -6,7 +6,7 @@
 from bellweir.hosted.batches.state import JOBS_KEY, BatchJobs
 from bellweir.hosted.interface import HostingPlatform, RecordKind
 from bellweir.hosted.metrics_service import MetricsService
-from bellweir.hosted.node_settings import FIRST_START_SPREAD_S
+from bellweir.hosted.node_settings import FIRST_START_JITTER_S
 from bellweir.hosted.settings import HostedSettings
 from bellweir.hosted.views.follower import KindFollower
 from bellweir.hosted.views.service import ViewsService
@@ -142,7 +142,7 @@
     def _keep_lease(self, stopping: threading.Event) -> None:
         if self._settings.node.bootstrap:
             # One of many store machines makes the lease, and tells the others.
-            self._lease.woken.wait(random.uniform(0.0, FIRST_START_SPREAD_S))
+            self._lease.woken.wait(random.uniform(0.0, FIRST_START_JITTER_S))
         while not stopping.is_set() and not self._leaving.is_set():
             self._lease.step()
             self._lease.woken.wait(self._lease.pause_s())
