--- a/features/hosted_logs.feature
+++ b/features/hosted_logs.feature
@@ -1,27 +1,27 @@
 Feature: Logs are bounded and never hold a request up
-  Lines go to a writer's queue. Each event may write so many lines a second; what is left out is
-  counted and told, and the lines that tell a final failure are always written.
+  A writer thread writes queued lines. Each event has a rate limit; dropped lines are counted and
+  reported, and lines that report a final failure are always written.
 
   Scenario: A reader that stops reading
-    Given logs that go to a pipe which nobody reads
-    When 20000 lines are emitted, of which 50 tell a final failure
-    Then emitting never waited for the reader
-    When the reader reads again
-    Then it gets the 50 final failures, and the count of what was left out
+    Given logs written to a pipe that is not read
+    When 20000 lines are emitted, of which 50 report a final failure
+    Then emitting never blocked on the reader
+    When the reader resumes
+    Then it gets the 50 final failures, and the number of dropped lines
 
   Scenario: A burst of one event
-    Given logs that go to a pipe which is read
+    Given logs written to a pipe that is read
     When one event is emitted 5000 times within a second and another one 10 times
-    Then the other one's 10 lines are all there
-    And the lines of the first and their left-out count make 5000
+    Then all 10 lines of the other event are written
+    And the written and dropped lines of the first add up to 5000
 
   Scenario: Each line is one JSON object with its event's fields
-    Given logs that go to a pipe which is read
+    Given logs written to a pipe that is read
     When a request that was given up is logged
-    Then its line tells its code, name, node, request id, cause and time
+    Then its line has its code, name, node, request id, cause and time
 
   Scenario: The address of the figures is taken
-    Given a hosted deployment whose store machine finds the address of its figures taken
-    Then it keeps the ledger all the same, and says so
-    When that address is free again
-    Then it shows its figures there
+    Given a hosted deployment whose store machine finds its metrics address in use
+    Then it serves the ledger and logs that the metrics are unavailable
+    When the metrics address is free again
+    Then it serves its metrics there
--- a/features/hosted_settings.feature
+++ b/features/hosted_settings.feature
@@ -1,30 +1,29 @@
 Feature: Settings of a hosted process are checked whole
-  The hosting platform fills the template in `deploy/` from its own fields at every start and each
-  time they change.
+  The platform renders the template in `deploy/` at every start and whenever its fields change.
 
   Scenario: The template of both roles
-    When the template is filled for a gateway and for a store
-    Then both settings are accepted, with nothing unknown
+    When the template is rendered for a gateway and for a store
+    Then both settings are accepted without unknown keys
 
   Scenario: A platform that does not tell what may be lost
-    When the template is filled for a store without the tolerated losses
+    When the template is rendered for a store without the tolerated losses
     Then the settings are accepted, with replicas for the loss of one machine
 
   Scenario: Every setting is shown, and where it came from
-    Given the settings of a store with runs that are not moved
-    Then the command "settings hosted FILE" shows that as given and every other switch by its default
-    And the command "settings hosted FILE" tells the faults of a wrong file
+    Given the settings of a store with moving of runs switched off
+    Then the command "settings hosted FILE" shows the given value and the defaults of the other switches
+    And the command "settings hosted FILE" reports the errors of an invalid file
 
   Scenario: Several faults at once
-    Given settings with a wrong role, a port out of bounds, a bad seed and no data folder
-    Then all 3 faults of values are found together, each with its place
-    Given settings without a node's name and with a text for a number
-    Then all 2 faults of shape are found together, each with its place
+    Given settings with a wrong role, a port out of range, an invalid seed and no data folder
+    Then all 3 invalid values are reported together, each with its key path
+    Given settings without the node's name and with a string for a number
+    Then all 2 schema errors are reported together, each with its key path
 
   Scenario: Keys of later versions
-    Given settings with keys that nobody knows
-    Then they are accepted, and the keys are told
+    Given settings with unknown keys
+    Then they are accepted, and the unknown keys are returned
 
   Scenario: Signals while a process starts
-    Then a hosted process that is told of changed settings while it reads them starts on
-    And a hosted process that is stopped while it reads its settings ends with exit code 0
+    Then a hosted process that receives SIGHUP while it reads its settings continues to start
+    And a hosted process that receives SIGTERM while it reads its settings exits with code 0
--- a/features/steps/explanation_steps.py
+++ b/features/steps/explanation_steps.py
@@ -1,4 +1,4 @@
-"""Explanations of requests from log lines."""
+"""Steps for explanations of requests, batch jobs and workers from log lines."""
 
 import json
 import subprocess
@@ -45,11 +45,13 @@
         attempts=2,
         ms=20,
     )
-    # Out of order, with words before the lines and lines that are none.
+    # Unsorted, with a prefix before one line, and one line that is not JSON.
     context.lines = [end, "  0.5 gateway-a " + attempt(2, 2, outcome), "{", attempt(1, 1, outcome)]
 
 
-@given_step("log lines of a job whose groups could not all be in time beside other steps")
+@given_step(
+    "log lines of a job that competes with other steps and cannot complete all groups in time"
+)
 def given_competing(context):
     def ordered(second, late):
         return line(
@@ -72,7 +74,7 @@
     context.lines = [accepted, ordered(2, 0), ordered(3, 3), ordered(4, 1)]
 
 
-@given_step("log lines of a job with a broken run, a change of leader and a late item")
+@given_step("log lines of a job with an interrupted run, a change of leader and a late item")
 def given_job(context):
     context.lines = [
         line(1, "gateway-a", "job_accepted", request_id="j-1", items=2, step=3),
@@ -87,7 +89,7 @@
 
 
 @given_step(
-    "log lines of a job with a group that waited, one that was moved and one that never ended"
+    "log lines of a job with a group that waited, one that was moved and one that never completed"
 )
 def given_held_up(context):
     def item(second, event, number, **fields):
@@ -121,8 +123,8 @@
 
 @then('the explanation of "{identifier}" says "{said}"')
 def then_says(context, identifier, said):
-    sentence = explain(identifier, read_lines([context.lines])).summary
-    assert said in sentence, sentence
+    summary = explain(identifier, read_lines([context.lines])).summary
+    assert said in summary, summary
 
 
 def run(context, identifier):
@@ -132,7 +134,7 @@
     return subprocess.run(command, capture_output=True, text=True, check=False)
 
 
-@then('the command "explain r-1 --log FILE" prints the lines in order and the sentence')
+@then('the command "explain r-1 --log FILE" prints the lines in order and the summary')
 def then_printed(context):
     done = run(context, "r-1")
     assert done.returncode == 0, done.stderr
@@ -142,7 +144,7 @@
     assert done.stdout.splitlines()[-1].startswith("Request r-1 was given up with status 503")
 
 
-@then('the command "explain r-9 --log FILE" fails with a clear word')
+@then('the command "explain r-9 --log FILE" fails with an error that names the id')
 def then_failed(context):
     done = run(context, "r-9")
     assert done.returncode != 0
@@ -160,7 +162,7 @@
     ]
 
 
-@given_step("log lines of a worker that two gateways set aside and one of them took back")
+@given_step("log lines of a worker that two gateways set aside and that returned at one of them")
 def given_worker(context):
     seen = {"instance": "i-1", "service": "app", "served": 1.2, "failed": 3.1, "usual_ms": 54}
     aside = seen | {"cause": "failing", "fellow": 0.0, "for_s": 2.0}
@@ -172,7 +174,7 @@
     ]
 
 
-@then('the story of "{identifier}" shows that a worker was set aside meanwhile')
-def then_meanwhile(context, identifier):
+@then('the explanation of "{identifier}" includes a worker that was set aside in the same period')
+def then_includes_worker(context, identifier):
     explanation = explain(identifier, read_lines([context.lines]))
     assert any(line.event == "worker_set_aside" for line in explanation.node_events)
--- a/features/steps/hosted_logs_steps.py
+++ b/features/steps/hosted_logs_steps.py
@@ -1,4 +1,4 @@
-"""The log writer against pipes."""
+"""Steps for the bounded log stream, written to pipes."""
 
 import json
 import os
@@ -35,12 +35,12 @@
     context.cleanup.callback(configure_logs, "info", "json")
 
 
-@given_step("logs that go to a pipe which nobody reads")
+@given_step("logs written to a pipe that is not read")
 def given_unread(context):
     start_logs(context)
 
 
-@given_step("logs that go to a pipe which is read")
+@given_step("logs written to a pipe that is read")
 def given_read(context):
     start_logs(context)
     start_reading(context)
@@ -57,12 +57,12 @@
     context.thread.start()
 
 
-def end(context):
+def finish_logs(context):
     context.log.close(10.0)
     context.thread.join(10.0)
 
 
-def give_up(number):
+def emit_failure(number):
     emit(
         REQUEST_GIVEN_UP,
         request_id=f"r-{number}",
@@ -75,39 +75,39 @@
     )
 
 
-@when("{count:d} lines are emitted, of which {final:d} tell a final failure")
+@when("{count:d} lines are emitted, of which {final:d} report a final failure")
 def when_emitted(context, count, final):
     context.longest_s = 0.0
     for number in range(count):
         began_s = time.monotonic()
         if number % (count // final) == 0:
-            give_up(number)
+            emit_failure(number)
         else:
             emit(ATTEMPT_FAILED, request_id=f"r-{number}", detail="x" * 100)
         context.longest_s = max(context.longest_s, time.monotonic() - began_s)
 
 
-@then("emitting never waited for the reader")
+@then("emitting never blocked on the reader")
 def then_no_wait(context):
     assert context.longest_s < 1.0
 
 
-@when("the reader reads again")
+@when("the reader resumes")
 def when_read(context):
     start_reading(context)
-    end(context)
+    finish_logs(context)
 
 
-@then("it gets the {final:d} final failures, and the count of what was left out")
+@then("it gets the {final:d} final failures, and the number of dropped lines")
 def then_final(context, final):
     found = [line for line in context.lines if line["event"] == REQUEST_GIVEN_UP.name]
     assert len(found) == final
-    assert left_out(context, ATTEMPT_FAILED) > 0
+    assert dropped_count(context, ATTEMPT_FAILED) > 0
 
 
-def left_out(context, event):
-    told = [line for line in context.lines if line["event"] == LINES_LEFT_OUT.name]
-    return sum(line["counts"].get(event.name, 0) for line in told)
+def dropped_count(context, event):
+    reports = [line for line in context.lines if line["event"] == LINES_LEFT_OUT.name]
+    return sum(line["counts"].get(event.name, 0) for line in reports)
 
 
 @when("one event is emitted {count:d} times within a second and another one {others:d} times")
@@ -116,28 +116,28 @@
         emit(ATTEMPT_FAILED, request_id=f"r-{number}")
         if number % (count // others) == 0:
             emit(CLIENT_LEFT, request_id=f"r-{number}")
-    end(context)
+    finish_logs(context)
 
 
-@then("the other one's {count:d} lines are all there")
+@then("all {count:d} lines of the other event are written")
 def then_others(context, count):
     assert sum(line["event"] == CLIENT_LEFT.name for line in context.lines) == count
 
 
-@then("the lines of the first and their left-out count make {count:d}")
+@then("the written and dropped lines of the first add up to {count:d}")
 def then_counted(context, count):
     written = sum(line["event"] == ATTEMPT_FAILED.name for line in context.lines)
     assert 0 < written < count
-    assert written + left_out(context, ATTEMPT_FAILED) == count
+    assert written + dropped_count(context, ATTEMPT_FAILED) == count
 
 
 @when("a request that was given up is logged")
 def when_given_up(context):
-    give_up(1)
-    end(context)
+    emit_failure(1)
+    finish_logs(context)
 
 
-@then("its line tells its code, name, node, request id, cause and time")
+@then("its line has its code, name, node, request id, cause and time")
 def then_line(context):
     [line] = context.lines
     wanted = {"code": REQUEST_GIVEN_UP.code, "event": "request_given_up", "node": "node-1"}
@@ -146,7 +146,7 @@
     assert line["timestamp"].endswith("Z")
 
 
-@given_step("a hosted deployment whose store machine finds the address of its figures taken")
+@given_step("a hosted deployment whose store machine finds its metrics address in use")
 def given_taken(context):
     deployment = HostedDeployment(context.folder, gateways=1, stores=1, zones=1, tolerated=0)
     context.cleanup.callback(deployment.close)
@@ -156,19 +156,19 @@
     deployment.start()
 
 
-@then("it keeps the ledger all the same, and says so")
+@then("it serves the ledger and logs that the metrics are unavailable")
 def then_keeps(context):
     for event in ("metrics_unavailable", "leader_elected"):
         wait_until(lambda event=event: event in context.machine.log_file.read_text(), event)
     assert context.machine.is_running
 
 
-@when("that address is free again")
+@when("the metrics address is free again")
 def when_free(context):
     context.taken.close()
 
 
-@then("it shows its figures there")
+@then("it serves its metrics there")
 def then_shown(context):
     url = f"http://{context.machine.ip}:{METRICS_PORT}/metrics"
 
@@ -179,4 +179,4 @@
         except OSError:
             return False
 
-    wait_until(shown, "the figures are shown")
+    wait_until(shown, "the metrics are served")
--- a/features/steps/hosted_settings_steps.py
+++ b/features/steps/hosted_settings_steps.py
@@ -1,4 +1,4 @@
-"""Settings of hosted processes."""
+"""Steps for the settings of hosted processes."""
 
 import json
 import os
@@ -47,17 +47,17 @@
     }
 
 
-def filled(context, role):
+def rendered(context, role):
     template = (context.repository / "deploy" / "settings.template").read_text()
     return fill(template, platform_fields(role))
 
 
-@when("the template is filled for a gateway and for a store")
+@when("the template is rendered for a gateway and for a store")
 def when_filled(context):
-    context.texts = [filled(context, role) for role in ("gateway", "store")]
+    context.texts = [rendered(context, role) for role in ("gateway", "store")]
 
 
-@then("both settings are accepted, with nothing unknown")
+@then("both settings are accepted without unknown keys")
 def then_accepted(context):
     gateway, store = (parse_settings(text.encode()) for text in context.texts)
     assert gateway.unknown_keys == store.unknown_keys == ()
@@ -67,13 +67,13 @@
     assert store.settings.usage == UsageSettings("10.200.0.155:8621", 5, 10)
     shared = node_settings(store.settings)
     assert str(shared.node.data_folder) == "/data/x"
-    # The seeds' IP numbers count, with the port that all machines share; not its own.
+    # The hosts of the other seeds, with the peer port of all machines.
     assert shared.membership.seeds == ("10.2.0.40:7720",)
-    # Two disks may be lost at once: three of five replicas are left, and one of them has it all.
+    # Two disks may be lost at once: of five replicas three remain, one with every entry.
     assert shared.ledger.replicas == 5
 
 
-@when("the template is filled for a store without the tolerated losses")
+@when("the template is rendered for a store without the tolerated losses")
 def when_filled_without_tolerance(context):
     template = (context.repository / "deploy" / "settings.template").read_text()
     fields = platform_fields("store")
@@ -88,7 +88,7 @@
 
 
 def changed(context, **changes):
-    plain = json.loads(filled(context, "gateway"))
+    plain = json.loads(rendered(context, "gateway"))
     for place, value in changes.items():
         part, key = place.split("__")
         if value is ...:
@@ -98,59 +98,59 @@
     return json.dumps(plain).encode()
 
 
-@given_step("settings with a wrong role, a port out of bounds, a bad seed and no data folder")
+@given_step("settings with a wrong role, a port out of range, an invalid seed and no data folder")
 def given_wrong_values(context):
     changes = {"node__role": "king", "node__peerPort": 99_999, "node__seeds": ["nowhere"]}
     context.content = changed(context, **changes)
 
 
-@given_step("settings without a node's name and with a text for a number")
+@given_step("settings without the node's name and with a string for a number")
 def given_wrong_shape(context):
     context.content = changed(context, node__name=..., bounds__leaseMs="soon")
 
 
-@then("all {count:d} faults of {what} are found together, each with its place")
+@then("all {count:d} {what} are reported together, each with its key path")
 def then_found(context, count, what):
     places = {
-        "values": {"node.role", "node.peerPort", "node.seeds.0"},
-        "shape": {"node.name", "bounds.leaseMs"},
+        "invalid values": {"node.role", "node.peerPort", "node.seeds.0"},
+        "schema errors": {"node.name", "bounds.leaseMs"},
     }
     try:
         parse_settings(context.content)
-    except SettingsError as failure:
-        assert {finding.key_path for finding in failure.findings} == places[what]
-        assert len(failure.findings) == count
+    except SettingsError as exc:
+        assert {finding.key_path for finding in exc.findings} == places[what]
+        assert len(exc.findings) == count
         return
     raise AssertionError("accepted")
 
 
-@given_step("settings with keys that nobody knows")
+@given_step("settings with unknown keys")
 def given_unknown(context):
     context.content = changed(context, node__colour="red", bounds__wings=2)
 
 
-@then("they are accepted, and the keys are told")
-def then_told(context):
+@then("they are accepted, and the unknown keys are returned")
+def then_unknown_returned(context):
     assert set(parse_settings(context.content).unknown_keys) == {"node.colour", "bounds.wings"}
 
 
-def shown(file):
+def show_settings(file):
     command = [sys.executable, "-m", "bellweir", "settings", "hosted", str(file), "-o", "json"]
     return subprocess.run(command, capture_output=True, text=True, check=False)
 
 
-@given_step("the settings of a store with runs that are not moved")
+@given_step("the settings of a store with moving of runs switched off")
 def given_not_moved(context):
-    plain = json.loads(filled(context, "store")) | {"batches": {"moveRuns": False}}
+    plain = json.loads(rendered(context, "store")) | {"batches": {"moveRuns": False}}
     context.file = context.folder / "store.json"
     context.file.write_text(json.dumps(plain), encoding="utf-8")
 
 
 @then(
-    'the command "settings hosted FILE" shows that as given and every other switch by its default'
+    'the command "settings hosted FILE" shows the given value and the defaults of the other switches'
 )
 def then_shown(context):
-    done = shown(context.file)
+    done = show_settings(context.file)
     assert done.returncode == 0, done.stderr
     found = {row["setting"]: (row["value"], row["origin"]) for row in json.loads(done.stdout)}
     assert found["batches.moveRuns"] == (False, "settings file")
@@ -161,17 +161,17 @@
             assert name == "batches.moveRuns" or found[name] == (field.default, "default"), name
 
 
-@then('the command "settings hosted FILE" tells the faults of a wrong file')
+@then('the command "settings hosted FILE" reports the errors of an invalid file')
 def then_faults(context):
     context.file.write_text('{"node": {}, "batches": {"keepTextsS": "x"}}', encoding="utf-8")
-    done = shown(context.file)
+    done = show_settings(context.file)
     assert done.returncode == 3
     assert "batches.keepTextsS" in done.stderr
     assert "node.name" in done.stderr
 
 
-def starting(context):
-    """A process that waits for its settings, and the file from which it reads them."""
+def start_blocked_process(context):
+    """Start a process that blocks on reading its settings; return it and the file."""
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
     file = Path(folder.name) / "settings.json"
@@ -186,20 +186,20 @@
     return process, file.open("w", encoding="utf-8")
 
 
-@then("a hosted process that is told of changed settings while it reads them starts on")
+@then("a hosted process that receives SIGHUP while it reads its settings continues to start")
 def then_starts_on(context):
-    process, settings = starting(context)
+    process, settings = start_blocked_process(context)
     process.send_signal(signal.SIGHUP)
     settings.write("{}")
     settings.close()
-    told, _ = process.communicate(timeout=20)
+    output, _ = process.communicate(timeout=20)
     assert process.returncode == 2, f"exit code {process.returncode}"
-    assert b"settings_refused" in told
+    assert b"settings_refused" in output
 
 
-@then("a hosted process that is stopped while it reads its settings ends with exit code 0")
+@then("a hosted process that receives SIGTERM while it reads its settings exits with code 0")
 def then_ends_well(context):
-    process, settings = starting(context)
+    process, settings = start_blocked_process(context)
     process.send_signal(signal.SIGTERM)
     assert process.wait(20) == 0, f"exit code {process.returncode}"
     settings.close()
--- a/features/steps/hosted_whole_steps.py
+++ b/features/steps/hosted_whole_steps.py
@@ -58,5 +58,7 @@
     )
     # It also names the processes that were killed in the day, and only those.
     nothing = explain("nothing", lines).summary
-    assert nothing.startswith("No line tells of nothing. Processes that ended without a word")
+    assert nothing.startswith(
+        "No log line mentions nothing. Processes that ended without a shutdown line"
+    )
     assert "gateway-0 (started again at" in nothing
--- a/src/bellweir/events/bounded.py
+++ b/src/bellweir/events/bounded.py
@@ -1,9 +1,7 @@
-"""A log stream that bounds the volume and never holds up the thread that writes.
+"""A rate-limited log stream that never blocks the thread that logs.
 
-Lines wait in a queue for one writer thread. An event may write so many lines a second; beyond
-that, and while the queue is full, its lines are dropped and counted, and a line tells the counts
-later. Lines of events that tell a final failure are never dropped for either reason; their number
-is bounded by the number of requests.
+Lines are queued for a writer thread. Lines beyond the rate limit of their event, or beyond the
+capacity of the queue, are dropped, and their counts are logged periodically.
 """
 
 import io
@@ -17,17 +15,19 @@
 from bellweir.events.event import Event
 
 MAX_LINES_PER_SECOND = 200
-"""Lines that one event may write in a second of the steady clock."""
+"""Lines of one event per second of the monotonic clock."""
 MAX_QUEUED_LINES = 2_000
 REPORT_INTERVAL_S = 5.0
-"""Time between two lines that tell what was left out."""
 WAIT_TIMEOUT_S = 1.0
 MAX_BLOCK_CHARACTERS = 3_500
-"""Lines written at once. Pipes take a page as a whole, and some collectors cut longer writes."""
+"""Limit of one write: pipes write up to a page atomically, and some collectors cut longer ones."""
 
 
 class BoundedLog(io.TextIOBase):
-    """Stands where `structlog` wants a text stream; `admits` is asked before a line is made."""
+    """A text stream for `structlog`; callers check `admits` before they render a line.
+
+    Final events are always admitted; their number is bounded by the number of requests.
+    """
 
     def __init__(self, stream: TextIO, dropped_event: Event) -> None:
         self._stream = stream
@@ -44,7 +44,7 @@
         self._thread.start()
 
     def admits(self, event: Event) -> bool:
-        """Whether a line of `event` may be written now; otherwise it is counted as left out."""
+        """Whether a line of `event` may be written now; otherwise count it as dropped."""
         with self._lock:
             if event.is_final:
                 return True
@@ -60,21 +60,21 @@
             return True
 
     def write(self, text: str) -> int:
-        """Queue text."""
+        """Queue text for the writer thread."""
         with self._lock:
             self._lines.append(text)
             self._ready.notify()
         return len(text)
 
     def flush(self) -> None:
-        """Nothing: the writer flushes."""
+        """Do nothing: the writer thread flushes."""
 
     def writable(self) -> bool:
-        """Tell that it can be written to."""
+        """Return True."""
         return True
 
     def close(self, timeout_s: float = WAIT_TIMEOUT_S) -> None:
-        """Write what waits, for at most `timeout_s`, and end."""
+        """Write the queued lines, for at most `timeout_s`, and stop the writer thread."""
         with self._lock:
             self._closed = True
             self._ready.notify()
@@ -99,7 +99,7 @@
                 return
 
     def _report_dropped(self, is_last: bool) -> str:
-        """A line with the counts when it is due; empty otherwise. Called under the lock."""
+        """Render the counts of dropped lines if due, else "". The caller holds the lock."""
         is_due = is_last or time.monotonic() >= self._report_due_s
         if not self._dropped or not is_due:
             return ""
@@ -112,7 +112,7 @@
 
 
 def _join_blocks(lines: list[str]) -> Iterator[str]:
-    """The pieces joined to blocks of whole ones; a longer piece is a block of its own."""
+    """Join lines to blocks of at most `MAX_BLOCK_CHARACTERS`; a longer line is its own block."""
     block = ""
     for line in lines:
         if block and len(block) + len(line) > MAX_BLOCK_CHARACTERS:
--- a/src/bellweir/events/catalogue.py
+++ b/src/bellweir/events/catalogue.py
@@ -1,4 +1,4 @@
-"""Collects the events that all packages declare, and renders docs/EVENTS.md."""
+"""Collects the log events that all packages declare, and renders docs/EVENTS.md."""
 
 import importlib
 import importlib.util
@@ -11,18 +11,20 @@
 
 
 class DuplicateEventError(ValueError):
-    """Two events share a number or a name."""
+    """Two log events share a number or a name."""
 
 
 def collect_events(package_name: str = bellweir.__name__) -> tuple[Event, ...]:
-    """Return all events declared in `log_events` modules below a package, by number.
+    """Return the events declared in the `log_events` modules of a package, sorted by number.
 
-    Raises `DuplicateEventError` when a number or name stands twice.
+    Raises `DuplicateEventError` if two events share a number or a name.
     """
     package = importlib.import_module(package_name)
     events: list[Event] = []
-    for found in pkgutil.iter_modules(package.__path__, f"{package_name}."):
-        events.extend(_events_of(f"{found.name}.{LOG_EVENTS_MODULE}") if found.ispkg else ())
+    for module_info in pkgutil.iter_modules(package.__path__, f"{package_name}."):
+        events.extend(
+            _events_of(f"{module_info.name}.{LOG_EVENTS_MODULE}") if module_info.ispkg else ()
+        )
     _check_unique(events)
     return tuple(sorted(events, key=lambda event: event.number))
 
@@ -38,15 +40,17 @@
     numbers: dict[int, Event] = {}
     names: dict[str, Event] = {}
     for event in events:
-        for twin in (numbers.get(event.number), names.get(event.name)):
-            if twin is not None and twin is not event:
-                raise DuplicateEventError(f"{event.code} {event.name} and {twin.code} {twin.name}")
+        for other in (numbers.get(event.number), names.get(event.name)):
+            if other is not None and other is not event:
+                raise DuplicateEventError(
+                    f"{event.code} {event.name} and {other.code} {other.name}"
+                )
         numbers[event.number] = event
         names[event.name] = event
 
 
 def render_catalogue(events: tuple[Event, ...]) -> str:
-    """Render the catalogue as Markdown."""
+    """Render the events as a Markdown table."""
     lines = [
         "# Log events",
         "",
--- a/src/bellweir/events/event.py
+++ b/src/bellweir/events/event.py
@@ -1,4 +1,4 @@
-"""The type of a numbered log event.
+"""Numbered log events.
 
 Each package declares its events in its module `log_events`, within its own range of numbers:
 kernel 1-99, settings 100s, wire 200s, platform 300s, resources 400s, configuration 500s,
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class Event:
-    """One kind of log line: `BW` and four digits, a name, a level and the fields it carries."""
+    """A kind of log line: its number, name, level, fields and meaning."""
 
     number: int
     name: str
@@ -29,7 +29,7 @@
     fields: tuple[str, ...]
     meaning: str
     is_final: bool = False
-    """Whether a line tells how something failed in the end: it is never left out."""
+    """Whether it reports a final failure; its lines are never dropped."""
 
     @property
     def code(self) -> str:
--- a/src/bellweir/events/log.py
+++ b/src/bellweir/events/log.py
@@ -1,4 +1,4 @@
-"""Writes numbered events through structlog, as JSON lines or for a console."""
+"""Writes log events through structlog, as JSON lines or in console format."""
 
 import logging
 import sys
@@ -13,8 +13,8 @@
 def configure_logs(
     level: str, output_format: str, stream: TextIO | BoundedLog = sys.stderr
 ) -> None:
-    """Set the lowest level written, the format, `json` or `console`, and where logs go."""
-    _bounded[:] = [stream] if isinstance(stream, BoundedLog) else []
+    """Configure the minimum level, the format, `json` or `console`, and the output stream."""
+    _bounded_streams[:] = [stream] if isinstance(stream, BoundedLog) else []
     renderer: structlog.typing.Processor = structlog.processors.JSONRenderer()
     if output_format == "console":
         renderer = structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
@@ -36,7 +36,7 @@
 
 
 def bind_node(node: str) -> None:
-    """Put the node's name on every line that this process writes."""
+    """Add the node's name to every line that this process logs."""
     _process_fields["node"] = node
 
 
@@ -48,12 +48,12 @@
     return fields
 
 
-_bounded: list[BoundedLog] = []
+_bounded_streams: list[BoundedLog] = []
 
 
 def emit(event: Event, **fields: Any) -> None:
-    """Write one log line for `event` with the given fields, if the stream's bounds admit it."""
-    if _bounded and not _bounded[0].admits(event):
+    """Log `event` with the given fields, unless a bounded stream drops it."""
+    if _bounded_streams and not _bounded_streams[0].admits(event):
         return
     logger = structlog.get_logger()
     write = getattr(logger, event.level.value)
--- a/src/bellweir/explanation/__init__.py
+++ b/src/bellweir/explanation/__init__.py
@@ -1,1 +1,1 @@
-"""Explains what became of a request or batch job from the log lines of several processes."""
+"""Explains the outcome of a request, batch job or worker from the logs of several processes."""
--- a/src/bellweir/explanation/explanation.py
+++ b/src/bellweir/explanation/explanation.py
@@ -1,4 +1,4 @@
-"""Picks the lines of one id, and what happened to its nodes meanwhile."""
+"""Selects the log lines of an id and the events of its nodes in the same period."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 from bellweir.explanation.summary import WORKER_EVENTS, summarize
 
 CONTEXT_WINDOW_S = 2.0
-"""Time around the id's own lines in which events of its nodes are shown."""
+"""Period before and after the id's own lines in which events of its nodes are included."""
 NODE_EVENTS = frozenset(
     {
         "process_started",
@@ -36,20 +36,20 @@
 
 @dataclass(frozen=True)
 class Explanation:
-    """What is known of one id."""
+    """What the logs contain about an id."""
 
     own_lines: tuple[LogLine, ...]
     node_events: tuple[LogLine, ...]
-    """Changes at its nodes around the time of its own lines."""
+    """Events of its nodes around the time of its own lines."""
     summary: str
 
 
 def explain(identifier: str, lines: Sequence[LogLine]) -> Explanation:
-    """The story of a request, an item, a job or a worker; `lines` in order of time."""
+    """Explain a request, item, job or worker from `lines`, which are sorted by time."""
     own_lines = [line for line in lines if _is_about(line, identifier)]
     if not own_lines:
         return Explanation((), (), summarize(identifier, []) + _killed_processes(lines))
-    # Ends and readings of a job may be asked for long after its items are done.
+    # A job may be ended or read long after its items are done.
     runs = [line for line in own_lines if line.event.startswith("item_")] or own_lines
     first_s, last_s = runs[0].seconds() - CONTEXT_WINDOW_S, runs[-1].seconds() + CONTEXT_WINDOW_S
     nodes = {line.node for line in own_lines}
@@ -68,7 +68,7 @@
 
 
 def _killed_processes(lines: Sequence[LogLine]) -> str:
-    """Processes that died without a word: what they held in hand has no line."""
+    """Name processes that restarted without a shutdown line; they lost lines of their requests."""
     stopped: set[str] = set()
     started: set[str] = set()
     killed: list[str] = []
@@ -82,7 +82,7 @@
             stopped.discard(line.node)
     if not killed:
         return ""
-    return f" Processes that ended without a word may have held it: {', '.join(killed)}."
+    return f" Processes that ended without a shutdown line may have held it: {', '.join(killed)}."
 
 
 def _is_about(line: LogLine, identifier: str) -> bool:
--- a/src/bellweir/explanation/lines.py
+++ b/src/bellweir/explanation/lines.py
@@ -1,4 +1,4 @@
-"""Reads log lines: JSON objects, one a line, whatever stands before them on the line."""
+"""Parses log lines: one JSON object per line, with any prefix before it."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -9,10 +9,10 @@
 
 @dataclass(frozen=True)
 class LogLine:
-    """One log line."""
+    """A parsed log line."""
 
     time: str
-    """As written: ISO 8601, UTC."""
+    """ISO 8601, UTC."""
     node: str
     event: str
     fields: dict[str, Any]
@@ -23,17 +23,17 @@
         return "" if value is None else str(value)
 
     def number(self, name: str) -> float:
-        """A field as a number; 0 when it is none."""
+        """A field as a number; 0 when it is absent or not a number."""
         value = self.fields.get(name)
         return float(value) if isinstance(value, int | float) else 0.0
 
     def seconds(self) -> float:
-        """The time of day in seconds since 1970, as the node's clock showed it."""
+        """Unix time in seconds by the node's clock."""
         return datetime.fromisoformat(self.time.replace("Z", "+00:00")).timestamp()
 
 
 def read_lines(sources: Iterable[Iterable[str]]) -> list[LogLine]:
-    """The log lines of several sources, in the order of their times; others are passed over."""
+    """Parse the log lines of several sources, sorted by time. Other lines are skipped."""
     found = [line for source in sources for line in _parse_all(source)]
     return sorted(found, key=lambda line: line.time)
 
--- a/src/bellweir/explanation/steps.py
+++ b/src/bellweir/explanation/steps.py
@@ -1,6 +1,6 @@
-"""How long a training step took, group by group, and what held its last needed group up.
+"""Computes the timing of training steps from log lines.
 
-All from log lines: when items began and were listed, and what became of their runs between.
+Finds when each group of a step was complete and what delayed its last item.
 """
 
 from collections import Counter
@@ -9,11 +9,11 @@
 from bellweir.explanation.lines import LogLine
 
 MIN_REPORTED_WAIT_S = 0.5
-"""A first start so long after the job's acceptance is worth telling."""
+"""Shortest delay between the job's acceptance and an item's first start that is reported."""
 
 
 class GroupTimes:
-    """One group: whole once the last of its items is listed."""
+    """Timing of a group, which is complete once all of its items are listed."""
 
     __slots__ = ("cause", "items", "listed_s", "name")
 
@@ -21,13 +21,13 @@
         self.name = name
         self.items = items
         self.listed_s = listed_s
-        """Seconds after the job's acceptance; None: never whole."""
+        """Seconds after the job's acceptance; None: never complete."""
         self.cause = cause
-        """What its last item waited for."""
+        """What delayed its last item."""
 
 
 class StepTimes:
-    """One job. Times are seconds after its acceptance."""
+    """Timing of a job. Times are seconds after its acceptance; `accepted_s` is a Unix time."""
 
     __slots__ = (
         "accepted_s",
@@ -52,18 +52,18 @@
         self.started_s: list[float] = []
         self.listed_s: list[float] = []
         self.events: dict[str, int] = {}
-        """Most events seen of each item's text."""
+        """Largest number of events logged for each item."""
         self.groups: list[GroupTimes] = []
-        """The first whole one first, those that never were at the end."""
+        """By completion time; incomplete groups come last."""
 
     def last_needed(self) -> GroupTimes | None:
-        """The group that the trainer waited for longest; None where nothing ran."""
+        """The group that completed the wanted number of groups; None where nothing ran."""
         wanted = self.wanted or len(self.groups)
         return self.groups[min(wanted, len(self.groups)) - 1] if self.groups else None
 
 
 def time_at_share(times: Sequence[float], share: float, count: int) -> float | None:
-    """The time by which a share of `count` had come; None when it never had.
+    """Return the time by which a share of `count` had occurred; None if it never had.
 
     >>> time_at_share([0.1, 0.2, 0.9], 0.5, 4), time_at_share([0.1, 0.2, 0.9], 1.0, 4)
     (0.2, None)
@@ -73,7 +73,7 @@
 
 
 def collect_steps(lines: Iterable[LogLine]) -> list[StepTimes]:
-    """The steps that the lines tell of, in order of their acceptance."""
+    """Return the steps found in log lines, sorted by acceptance time."""
     steps: dict[str, StepTimes] = {}
     lines_by_item: dict[str, dict[str, list[LogLine]]] = {}
     takeovers: list[float] = []
@@ -128,21 +128,21 @@
 
     last = max(names, key=lambda item: (end_of(item), step.events[item]))
     end_s = end_of(last)
-    is_whole = end_s != float("inf")
+    is_complete = end_s != float("inf")
     cause = _describe_delay(step, items[last], end_s, takeovers)
-    return GroupTimes(name, len(names), end_s if is_whole else None, cause)
+    return GroupTimes(name, len(names), end_s if is_complete else None, cause)
 
 
 def _describe_delay(
     step: StepTimes, lines: Sequence[LogLine], end_s: float, takeovers: Sequence[float]
 ) -> str:
-    """What an item waited for, the longest in words for people."""
+    """Describe what delayed an item."""
     parts: list[str] = []
     starts = [line for line in lines if line.event == "item_started"]
     waited_s = starts[0].seconds() - step.accepted_s if starts else end_s
     if waited_s >= MIN_REPORTED_WAIT_S:
-        parts.append(f"waited {waited_s:.1f} s for a place")
-    parts.append(f"a text of {step.events[lines[0].text('request_id')]} events")
+        parts.append(f"waited {waited_s:.1f} s for a slot")
+    parts.append(f"an output of {step.events[lines[0].text('request_id')]} events")
     leader_changes = [
         at_s - step.accepted_s for at_s in takeovers if 0 < at_s - step.accepted_s < end_s
     ]
--- a/src/bellweir/explanation/summary.py
+++ b/src/bellweir/explanation/summary.py
@@ -1,4 +1,4 @@
-"""Says in a sentence what became of a request, an item or a batch job."""
+"""Summarizes the outcome of a request, item, batch job or worker in a sentence."""
 
 from collections import Counter
 from collections.abc import Iterable, Sequence
@@ -7,27 +7,27 @@
 from bellweir.explanation.steps import collect_steps
 
 CAUSES = {
-    "workers_full": "each worker that was tried said that it had no room and had not run it",
-    "no_room": "its service could not answer in time, so that it was refused before it was sent",
+    "workers_full": "each worker that was tried reported no capacity and had not run it",
+    "no_room": "its service could not answer in time, so it was refused before it was sent",
     "no_worker": "no worker of the route's service was listed as ready, or all had been tried",
     "not_reached": "no worker could be reached, so it has not run",
-    "no_answer": "a worker may have run it but gave no whole answer of its own",
-    "worker_failed": "the worker itself answered with a failure",
-    "timeout": "the route's time-out or the client's deadline passed first",
-    "no_route": "no route of the configuration in force has its host and path",
+    "no_answer": "a worker may have run it but returned no complete answer",
+    "worker_failed": "the worker itself returned an error",
+    "timeout": "the route's timeout or the client's deadline expired first",
+    "no_route": "no route of the configuration in force matches its host and path",
     "unknown_key": "the configuration in force has no such key, or the request carried none",
-    "no_configuration": "the process knew no configuration yet",
+    "no_configuration": "the process had no configuration yet",
 }
 WORKER_EVENTS = frozenset({"worker_set_aside", "worker_returned"})
-"""Events that tell of a worker by its id."""
+"""Events whose subject is a worker, identified by `instance`."""
 MAX_ITEMS_SHOWN = 3
 MAX_GROUPS_SHOWN = 3
 
 
 def summarize(identifier: str, lines: Sequence[LogLine]) -> str:
-    """A sentence on `identifier`, from its own lines in order of time."""
+    """Return a sentence on `identifier` from its own lines, which are sorted by time."""
     if not lines:
-        return f"No line tells of {identifier}."
+        return f"No log line mentions {identifier}."
     of_job = [line for line in lines if line.fields.get("job") == identifier]
     if of_job or any(line.event.startswith("job_") for line in lines):
         return _summarize_job(identifier, lines, of_job)
@@ -60,7 +60,8 @@
     return (
         f"was set aside {len(lines)} times by {nodes} gateways ({parts}), first on {first.node} at"
         f" {first.time}: {first.text('failed')} failed and {first.text('served')} served with a"
-        f" median of {first.text('usual_ms')} ms, beside {first.text('fellow')} of its fellow"
+        f" median of {first.text('usual_ms')} ms, compared with"
+        f" {first.text('fellow')} for the other workers"
     )
 
 
@@ -92,13 +93,13 @@
     if last.event == "job_not_accepted":
         return f"Batch job {identifier} was not accepted on {last.node}: {last.text('cause')}."
     return (
-        f"Request {identifier} has no last line: {last.node} ended or the line is not in these "
-        f"logs; the newest one is {last.event}{details}."
+        f"Request {identifier} has no final line: {last.node} ended or the line is not in these "
+        f"logs; the latest line is {last.event}{details}."
     )
 
 
 def _summarize_waits(lines: Sequence[LogLine]) -> str:
-    """What a request's wait for room, or its refusal, rested on."""
+    """Describe what a request's wait in the queue, or its refusal, was based on."""
     parts = []
     for line in lines:
         if line.event not in ("request_queued", "request_refused"):
@@ -146,7 +147,7 @@
     refused = [line for line in own if line.event == "job_not_accepted"]
     ended = next((line for line in own if line.event == "job_ended"), None)
     if accepted is None:
-        cause = refused[-1].text("cause") if refused else "no line tells of it"
+        cause = refused[-1].text("cause") if refused else "no log line mentions its acceptance"
         return f"Batch job {identifier} was not accepted: {cause}."
     listed = [line for line in of_job if line.event == "item_listed"]
     broken = [line for line in of_job if line.event == "item_broken"]
@@ -174,20 +175,24 @@
 
 
 def _summarize_late_groups(identifier: str, lines: Sequence[LogLine]) -> list[str]:
-    """The groups that were whole last, or never, each with what its last item waited for."""
+    """Describe the groups that were complete last, or never, and what delayed each."""
     groups = [
         group for step in collect_steps(lines) if step.job == identifier for group in step.groups
     ]
     return [
         f"group {group.name} was "
-        + (f"whole after {group.listed_s:.1f} s" if group.listed_s is not None else "never whole")
+        + (
+            f"complete after {group.listed_s:.1f} s"
+            if group.listed_s is not None
+            else "never complete"
+        )
         + f" ({group.cause})"
         for group in groups[-MAX_GROUPS_SHOWN:]
     ]
 
 
 def _summarize_worst_order(own: Sequence[LogLine], since_s: float) -> list[str]:
-    """How a step stood beside others when most of its groups could not be in time."""
+    """Describe the competition with other steps when the most groups could not be in time."""
     orders = [line for line in own if line.event == "step_ordered" and line.number("late_groups")]
     if not orders:
         return []
@@ -198,8 +203,8 @@
         f"after {worst.seconds() - since_s:.1f} s, {due_in_s:.1f} s before it was due, "
         f"{values['late_groups']} of the {values['wanted_groups']} groups that it still wanted "
         f"could not be in time: {values['left_events']} events were left, "
-        f"{values['waiting']} texts at no worker and {values['running']} at one, for "
-        f"{values['steps']} steps on {values['places']} places of {values['pace_ms']} ms an event"
+        f"{values['waiting']} items at no worker and {values['running']} at one, for "
+        f"{values['steps']} steps on {values['places']} slots at {values['pace_ms']} ms per event"
     ]
 
 
--- a/src/bellweir/hosted/log_events.py
+++ b/src/bellweir/hosted/log_events.py
@@ -7,32 +7,44 @@
     "process_started",
     Level.INFO,
     ("role", "zone", "start_ms"),
-    "The process serves; time from its first instruction.",
+    "The process is serving; `start_ms` is the time since it was executed.",
 )
 PROCESS_DRAINING = Event(
-    1401, "process_draining", Level.INFO, ("in_flight",), "SIGTERM came; no new clients are sent."
+    1401,
+    "process_draining",
+    Level.INFO,
+    ("in_flight",),
+    "SIGTERM was received; the process drains and takes no new clients.",
 )
 PROCESS_STOPPED = Event(
     1402,
     "process_stopped",
     Level.INFO,
     ("seconds", "left_running"),
-    "The process ends.",
+    "The process exits.",
     is_final=True,
 )
 SETTINGS_RELOADED = Event(
-    1403, "settings_reloaded", Level.INFO, ("changed",), "SIGHUP came; keys whose values changed."
+    1403,
+    "settings_reloaded",
+    Level.INFO,
+    ("changed",),
+    "SIGHUP was received; `changed` lists the keys whose values changed.",
 )
 SETTINGS_REFUSED = Event(
     1404,
     "settings_refused",
     Level.ERROR,
     ("findings",),
-    "The settings file has faults; what was in force stays.",
+    "The settings file is invalid; the previous settings stay in force.",
     is_final=True,
 )
 SETTINGS_UNKNOWN = Event(
-    1405, "settings_unknown", Level.WARNING, ("keys",), "Keys that this version doesn't know."
+    1405,
+    "settings_unknown",
+    Level.WARNING,
+    ("keys",),
+    "The settings file has keys that this version does not know; they are ignored.",
 )
 STORE_LOST = Event(
     1410,
@@ -45,92 +57,97 @@
     1411, "store_regained", Level.INFO, ("kind", "after_s"), "The object store answers again."
 )
 STORE_LISTED = Event(
-    1412, "store_listed", Level.INFO, ("kind", "revision", "count"), "All objects were read."
+    1412,
+    "store_listed",
+    Level.INFO,
+    ("kind", "revision", "count"),
+    "All objects of a kind were listed.",
 )
 STORE_CALLS = Event(
     1418,
     "store_calls",
     Level.INFO,
     ("calls",),
-    "Calls to the object store since the last such line, by kind, sort and outcome.",
+    "Calls to the object store since the previous such line, by kind, operation and outcome.",
 )
 VIEW_RELAYED = Event(
     1416,
     "view_relayed",
     Level.INFO,
     ("kind", "age_s"),
-    "Peers tell what is new of this kind; the object store is not asked for it.",
+    "Changes of this kind are received from peers; the object store is not queried.",
 )
 VIEW_DIRECT = Event(
     1417,
     "view_direct",
     Level.INFO,
     ("kind", "age_s"),
-    "What peers tell is too old; this process follows the object store itself.",
+    "Changes received from peers are too old; this process watches the object store itself.",
 )
 STORE_TURNS_AWAY = Event(
     1426,
     "store_turns_away",
     Level.WARNING,
     ("lost_s",),
-    "The object store does not serve this process; it asks other nodes what is new there.",
+    "The object store does not serve this process; it asks peers for changes instead.",
 )
 STORE_SERVES_AGAIN = Event(
-    1427, "store_serves_again", Level.INFO, (), "A look at the object store was answered again."
+    1427, "store_serves_again", Level.INFO, (), "A probe of the object store was answered again."
 )
 CONFIGURATION_IN_FORCE = Event(
     1413,
     "configuration_in_force",
     Level.INFO,
     ("version", "routes", "source"),
-    "A newer configuration routes requests from now on.",
+    "A newer configuration is now used to route requests.",
 )
 CONFIGURATION_REFUSED = Event(
-    1414, "configuration_refused", Level.ERROR, ("error",), "A configuration can't be understood."
+    1414, "configuration_refused", Level.ERROR, ("error",), "A configuration could not be parsed."
 )
 ENTRY_UNREADABLE = Event(
     1480,
     "entry_unreadable",
     Level.WARNING,
     ("kind", "name", "revision", "cause"),
-    "An entry of the object store can't be used and counts as absent; once for each revision.",
+    "An entry of the object store is unusable and treated as absent; logged once per revision.",
 )
 CONFIGURATION_PART_UNREADABLE = Event(
     1481,
     "configuration_part_unreadable",
     Level.ERROR,
     ("version", "part", "name", "cause", "instead"),
-    "A part of a configuration can't be used; `instead` says what is in force in its place.",
+    "A part of a configuration is unusable; `instead` names what is in force in its place.",
 )
 WORKER_CHANGED = Event(
     1415,
     "worker_changed",
     Level.INFO,
     ("instance", "service", "address", "born", "state", "versions"),
-    "A worker's entry appeared, changed or went (state `gone`).",
+    "A worker's entry was added, changed or removed (state `gone`).",
 )
 WORKER_KEPT = Event(
     1419,
     "worker_kept",
     Level.INFO,
     ("instance", "address", "left_s"),
-    "A worker's entry lapsed while the store was away; the worker counts as live so much longer.",
+    "A worker's entry expired while the object store was unavailable; the worker counts as live "
+    "for `left_s` more seconds.",
 )
 WORKER_STARTED_AGAIN = Event(
     1406,
     "worker_started_again",
     Level.INFO,
     ("instance", "address", "born", "known_born"),
-    "A worker started again under its id; what was known of it counts no more. `known_born` is its"
-    " former start: a greater one means that its clock was put back.",
+    "A worker restarted under the same id; earlier observations of it are discarded. "
+    "`known_born` is its previous start time: a later one means that its clock was set back.",
 )
 WORKER_FORMER_ENTRY = Event(
     1407,
     "worker_former_entry",
     Level.WARNING,
     ("instance", "address", "born", "known_born"),
-    "An entry under another start than the newest, `known_born`, was passed over: an old reading or"
-    " a late write. It counts if it is written a second time.",
+    "An entry with another start time than the newest, `known_born`, was ignored as a stale read "
+    "or a late write. It is accepted if it is written a second time.",
 )
 REQUEST_ANSWERED = Event(
     1420,
@@ -146,7 +163,7 @@
         "ms",
         "workers_age_ms",
     ),
-    "A client's request got a worker's answer.",
+    "A client's request was answered by a worker.",
 )
 REQUEST_GIVEN_UP = Event(
     1421,
@@ -163,7 +180,7 @@
         "workers_age_ms",
         "ready",
     ),
-    "A client's request got an answer of this service's own.",
+    "A client's request was answered with an error by the gateway itself.",
     is_final=True,
 )
 ATTEMPT_FAILED = Event(
@@ -171,27 +188,36 @@
     "attempt_failed",
     Level.INFO,
     ("request_id", "attempt", "instance", "address", "outcome", "detail", "ms"),
-    "An attempt at a worker brought no answer to pass on.",
+    "An attempt at a worker returned no answer that can be forwarded.",
 )
 STREAM_RESUMED = Event(
     1423,
     "stream_resumed",
     Level.INFO,
     ("request_id", "instance", "after_event"),
-    "A broken stream continues at another worker.",
+    "An interrupted stream was resumed at another worker.",
 )
 CLIENT_LEFT = Event(
-    1424, "client_left", Level.INFO, ("request_id",), "The client closed; its work is cancelled."
+    1424,
+    "client_left",
+    Level.INFO,
+    ("request_id",),
+    "The client disconnected; its request is cancelled.",
 )
 LINES_LEFT_OUT = Event(
-    1425, "lines_left_out", Level.WARNING, ("counts",), "Log lines dropped lately, by event."
+    1425,
+    "lines_left_out",
+    Level.WARNING,
+    ("counts",),
+    "Number of log lines dropped since the previous such line, by event.",
 )
 KEY_REFUSED = Event(
     1428,
     "key_refused",
     Level.INFO,
     ("request_id", "configuration", "verdict", "has_key", "age_ms"),
-    "A request carries no key that the configuration in force has; `undecided`: a newer one may.",
+    "A request carries no key of the configuration in force; `undecided`: a newer configuration "
+    "may have it.",
 )
 WORKER_SET_ASIDE = Event(
     1500,
@@ -208,50 +234,52 @@
         "for_s",
         "told_age_ms",
     ),
-    "A worker does worse than its fellows; it gets nothing for so long, then trials. `fellow`: the"
-    " fellow's share of failures or median in seconds.",
+    "A worker performs worse than the other workers of its service; it gets no requests for "
+    "`for_s` seconds, then probes only. `fellow`: the others' failure rate, or their median in "
+    "seconds.",
 )
 WORKER_RETURNED = Event(
     1501,
     "worker_returned",
     Level.INFO,
     ("instance", "service", "cause", "served", "failed", "usual_ms", "told_age_ms"),
-    "A worker that was set aside gets requests as its fellows do.",
+    "A worker that was set aside gets requests like the others again.",
 )
 SIGHT_ALONE = Event(
     1502,
     "sight_alone",
     Level.WARNING,
     ("gateways",),
-    "No other gateway was heard while there was something to tell; what they told fades out.",
+    "No other gateway was heard from while there were observations to share; those received "
+    "earlier decay.",
 )
 SIGHT_SHARED = Event(
     1503,
     "sight_shared",
     Level.INFO,
     ("gateways",),
-    "Another gateway was heard again.",
+    "Another gateway was heard from again.",
 )
 RETRY_REFUSED = Event(
     1504,
     "retry_refused",
     Level.WARNING,
     ("service", "first", "further", "gateways"),
-    "The further tries of a service have used up their share; one line a second at most.",
+    "The retry budget of a service is exhausted; at most one line a second.",
 )
 JOB_ACCEPTED = Event(
     1430,
     "job_accepted",
     Level.INFO,
     ("request_id", "tenant", "items", "wanted", "step", "model", "minimum_version", "ms"),
-    "A batch job is durable; it will be run.",
+    "A batch job was stored durably and will be run.",
 )
 JOB_NOT_ACCEPTED = Event(
     1431,
     "job_not_accepted",
     Level.WARNING,
     ("request_id", "status", "cause"),
-    "A batch job was refused, or its acceptance is not known.",
+    "A batch job was refused, or it is unknown whether it was accepted.",
     is_final=True,
 )
 JOB_ENDED = Event(
@@ -262,14 +290,14 @@
     "item_started",
     Level.INFO,
     ("request_id", "job", "group", "attempt", "instance", "version", "after_event"),
-    "An item of a batch job is sent to a worker.",
+    "An item of a batch job was sent to a worker.",
 )
 ITEM_BROKEN = Event(
     1434,
     "item_broken",
     Level.INFO,
     ("request_id", "job", "attempt", "instance", "cause", "events"),
-    "An item's run ended short; it is tried again.",
+    "A run of an item ended before it was complete; the item is retried.",
 )
 ITEM_MOVED = Event(
     1438,
@@ -287,50 +315,70 @@
         "pace_ms",
         "target_pace_ms",
     ),
-    "An item's run is cut and goes on at a better worker, behind its last event.",
+    "A run of an item was cancelled and resumes at another worker after its last event.",
 )
 ITEM_TAKEN_OVER = Event(
     1439,
     "item_taken_over",
     Level.INFO,
     ("request_id", "job", "events"),
-    "A new leader goes on with a text that the one before had kept a part of.",
+    "A new leader resumes an item from the checkpoint that the previous leader stored.",
 )
 ITEM_LISTED = Event(
     1435,
     "item_listed",
     Level.INFO,
     ("request_id", "job", "state", "events", "versions", "cause"),
-    "An item's result is committed at its position.",
+    "An item's result was committed at its position.",
 )
 COORDINATION_TAKEN = Event(
-    1436, "coordination_taken", Level.INFO, ("jobs",), "This node runs the open batch jobs now."
+    1436,
+    "coordination_taken",
+    Level.INFO,
+    ("jobs",),
+    "This node now coordinates the open batch jobs.",
 )
 COORDINATION_LEFT = Event(
-    1437, "coordination_left", Level.INFO, ("running",), "Another node runs the batch jobs."
+    1437,
+    "coordination_left",
+    Level.INFO,
+    ("running",),
+    "This node no longer coordinates the batch jobs.",
 )
 LEASE_TAKEN = Event(
-    1440, "lease_taken", Level.INFO, ("lease", "fence", "after"), "This node holds a lease."
+    1440, "lease_taken", Level.INFO, ("lease", "fence", "after"), "This node acquired a lease."
 )
-LEASE_LOST = Event(1441, "lease_lost", Level.WARNING, ("lease", "cause"), "The lease is gone.")
+LEASE_LOST = Event(1441, "lease_lost", Level.WARNING, ("lease", "cause"), "This node lost a lease.")
 ORDER_SENT = Event(
     1442,
     "order_sent",
     Level.INFO,
     ("instance", "model", "version", "mode", "fence", "expected", "answer"),
-    "A worker was ordered to load a version.",
+    "A worker was ordered to load a version of a model.",
 )
 VERSION_NAMED = Event(
-    1443, "version_named", Level.INFO, ("model", "version"), "A trainer named a version."
+    1443, "version_named", Level.INFO, ("model", "version"), "A trainer announced a version."
 )
 VERSION_LOADED = Event(
-    1444, "version_loaded", Level.INFO, ("instance", "model", "version"), "A worker holds it."
+    1444,
+    "version_loaded",
+    Level.INFO,
+    ("instance", "model", "version"),
+    "A worker has loaded a version.",
 )
 RETIREMENT_STARTED = Event(
-    1450, "retirement_started", Level.INFO, ("machine",), "A store machine is being emptied."
+    1450,
+    "retirement_started",
+    Level.INFO,
+    ("machine",),
+    "A store machine is being drained of its replicas.",
 )
 RETIREMENT_COMPLETED = Event(
-    1451, "retirement_completed", Level.INFO, ("machine",), "It holds nothing any more."
+    1451,
+    "retirement_completed",
+    Level.INFO,
+    ("machine",),
+    "A retired store machine holds no replicas any more.",
 )
 WORKERS_ORDERED = Event(
     1453,
@@ -346,21 +394,23 @@
         "fence",
         "answer",
     ),
-    "A zone was ordered to hold so many workers; `refused`: none can be had there now.",
+    "The platform was asked for a number of workers in a zone; `refused`: none are available "
+    "there.",
 )
 USAGE_REPORTED = Event(
     1455,
     "usage_reported",
     Level.INFO,
     ("window", "requests", "tenants", "fence", "answer"),
-    "A window's usage, settled in the log, was reported to the platform; unless `done`, again.",
+    "The usage of a window, settled in the log, was reported to the platform; repeated until the "
+    "answer is `done`.",
 )
 USAGE_MISSED = Event(
     1456,
     "usage_missed",
     Level.ERROR,
     ("window",),
-    "A window's usage could not be reported in time; `usage_reported` lines tell what was tried.",
+    "The usage of a window was not reported in time; its `usage_reported` lines show the attempts.",
     is_final=True,
 )
 USAGE_TOO_LATE = Event(
@@ -368,7 +418,7 @@
     "usage_too_late",
     Level.WARNING,
     ("windows",),
-    "Counts of this gateway reached the log after their window was settled: they are not reported.",
+    "Counts of this gateway reached the log after their window was settled and are not reported.",
     is_final=True,
 )
 READING_PUT_OFF = Event(
@@ -376,14 +426,15 @@
     "reading_put_off",
     Level.WARNING,
     ("request_id", "after", "leader", "nearby", "left_out"),
-    "A reading of results was answered 503: nobody knew the position; one line a second at most.",
+    "A read of results was answered 503 because no node knew the position; at most one line a "
+    "second.",
 )
 ITEM_NOT_LISTED = Event(
     1459,
     "item_not_listed",
     Level.INFO,
     ("request_id", "job", "state", "events", "cause"),
-    "An item's result was dropped when it reached the log; the cause tells why.",
+    "An item's result was discarded when it reached the log; `cause` gives the reason.",
 )
 REQUEST_QUEUED = Event(
     1510,
@@ -401,7 +452,8 @@
         "slots",
         "age_ms",
     ),
-    "A request waited for room at a service; what was known of it at the end of the wait.",
+    "A request was queued for a free slot of a service; the fields give what was known at the "
+    "end of the wait.",
 )
 REQUEST_REFUSED = Event(
     1511,
@@ -421,36 +473,38 @@
         "slots",
         "age_ms",
     ),
-    "A request was refused before any worker saw it; what was known of its service, and its age.",
+    "A request was refused before it was sent to a worker; the fields give what was known of its "
+    "service and how old that was.",
 )
 METRICS_UNAVAILABLE = Event(
     1460,
     "metrics_unavailable",
     Level.WARNING,
     ("address", "error"),
-    "The address of the process's figures is taken; it is tried again, and all else goes on.",
+    "The metrics address is in use; binding is retried and the process goes on without it.",
 )
 WORKER_FAILS_ALL = Event(
     1470,
     "worker_fails_all",
     Level.WARNING,
     ("instance", "failures", "service_workers", "failing_workers", "cause"),
-    "A worker fails whatever it gets while its fellows don't: it gets items to try it by only.",
+    "A worker fails every item while the other workers do not; it gets probe items only.",
 )
 WORKER_SERVES_AGAIN = Event(
     1471,
     "worker_serves_again",
     Level.INFO,
     ("instance",),
-    "A worker that had failed several items in a row serves one: it gets items as its fellows do.",
+    "A worker that had failed several items in a row completed one; it gets items like the "
+    "others again.",
 )
 ALLOWANCE_LEARNT = Event(
     1490,
     "allowance_learnt",
     Level.INFO,
     ("model", "lag", "job", "named", "minimum_version"),
-    "The holder of the roll-outs' lease learnt from a job how many versions behind the newest its "
-    "trainer lets samples be: with a lag of 1 a worker loads every second version only.",
+    "The holder of the roll-out lease learnt from a job how many versions behind the newest the "
+    "trainer accepts samples from: with a lag of 1 a worker loads only every second version.",
 )
 STEP_ORDERED = Event(
     1472,
@@ -471,6 +525,7 @@
         "pace_ms",
         "steps",
     ),
-    "Steps of several trainers want the same engines: what one needs, what is left of its time and "
-    "how many of its groups can't be in time; one line a second a step at most.",
+    "Steps of several trainers compete for the same engines: what one step still needs, the time "
+    "it has left and how many of its groups cannot be in time; at most one line per step and "
+    "second.",
 )
--- a/src/bellweir/hosted/metrics_service.py
+++ b/src/bellweir/hosted/metrics_service.py
@@ -1,4 +1,4 @@
-"""Service `telemetry`: figures of the process in Prometheus text form, on an address of its own."""
+"""Service `telemetry`: serves the metrics of the process in the Prometheus text format."""
 
 import socket
 import threading
@@ -24,13 +24,12 @@
 THREADS = 2
 MAX_BODY_BYTES = 1 << 16
 BIND_RETRY_INTERVAL_S = 2.0
-"""Pause before an address that is in use is tried again: long enough to log one line each time."""
 MAX_AGE_S = 1e6
-"""Shown for a view that was never current."""
+"""Reported for a view that was never current."""
 
 
 class MetricsService(Service):
-    """Holds the figures that other services add to, and serves them."""
+    """Holds the metrics that other services update, and serves them over HTTP."""
 
     name = names.TELEMETRY
     dependencies = (names.VIEWS, names.MEMBERSHIP)
@@ -46,13 +45,13 @@
         self._started_s = time.monotonic()
 
     def start(self) -> None:
-        """Add the gauges of all roles and listen, where an address is set."""
+        """Add the gauges of all roles and, if an address is set, start to serve."""
         self._add_gauges(self._kernel.registry.find(names.VIEWS, ViewsService))
         if self._address is not None:
             self._kernel.executors.run_task("metrics", partial(self._serve, self._address))
 
     def _serve(self, address: str, stopping: threading.Event) -> None:
-        """Serve the figures, once their address is free: nothing else may wait for that."""
+        """Serve the metrics; runs in a task, since binding the address may have to be retried."""
         listener = self._bind(address, stopping)
         if listener is None:
             return
@@ -66,7 +65,7 @@
         server.run_until_closed(stopping)
 
     def _bind(self, address: str, stopping: threading.Event) -> socket.socket | None:
-        """Listen at an address, as soon as it is free; None when the process stops before."""
+        """Bind an address, retrying while it is in use; None if the process stops first."""
         while not stopping.is_set() and not self._stopped:
             try:
                 return bind_address(address)
--- a/src/bellweir/hosted/node_settings.py
+++ b/src/bellweir/hosted/node_settings.py
@@ -1,7 +1,7 @@
-"""The settings of the packages that hosted and self-run nodes share, for a hosted process.
+"""Adapts the settings of a hosted process to the packages shared with self-run nodes.
 
-Self-run nodes read these from a file of their own with pydantic, whose import a process that
-must be back at once cannot afford. The classes here have the same attributes.
+Self-run nodes parse theirs with pydantic, whose import would delay the restart of a hosted
+process. The classes here have the same attributes.
 """
 
 from dataclasses import dataclass
@@ -15,10 +15,9 @@
 
 
 FIRST_START_JITTER_S = 3.0
-"""Time over which store machines spread their first looks at shared objects of the store.
+"""Maximum random delay of store machines before they create shared objects at the first start.
 
-At the first start of all they look for objects that one of them has to make, and the others are
-told of; traffic starts 12 s later or more. At any later start nothing is held up.
+One machine creates them and notifies the others. Later starts are not delayed.
 """
 
 
@@ -80,7 +79,7 @@
 
 
 def node_settings(settings: HostedSettings) -> "Settings":
-    """The shared packages' view of the settings."""
+    """Return the settings in the form that the shared packages expect."""
     node = settings.node
     folder = Path(node.data_folder) if node.data_folder is not None else None
     shared = _Settings(
@@ -99,16 +98,16 @@
 
 
 def seed_addresses(settings: HostedSettings) -> tuple[str, ...]:
-    """Peer addresses of the seeds: their IP numbers with the port that all machines share."""
+    """Peer addresses of the other seeds: their hosts with the peer port of all machines."""
     hosts = dict.fromkeys(seed.rpartition(":")[0] for seed in settings.node.seeds)
     own = settings.node.ip
     return tuple(f"{host}:{settings.node.peer_port}" for host in hosts if host != own)
 
 
 def startup_seed_addresses(settings: HostedSettings) -> tuple[str, ...]:
-    """Peer addresses that this node asks first when it starts; none for a seed itself.
+    """Peer addresses that this node queries first at start; empty for a seed.
 
-    The seeds read the platform's store at once, so that somebody does.
+    Seeds read the platform's store directly, so that at least one node does.
     """
     hosts = {seed.rpartition(":")[0] for seed in settings.node.seeds}
     return () if settings.node.ip in hosts else seed_addresses(settings)
--- a/src/bellweir/hosted/settings.py
+++ b/src/bellweir/hosted/settings.py
@@ -1,7 +1,7 @@
-"""Settings of a hosted process: read from the file that the platform fills in, checked whole.
+"""Settings of a hosted process, read from a file that the platform generates.
 
-All findings are collected with their place. Unknown keys belong to later versions of the
-platform's template and are left alone; they are returned so that they can be logged.
+All errors are collected with their key path. Unknown keys, as later versions of the platform's
+template may have, are ignored and returned so that they can be logged.
 """
 
 from collections.abc import Iterator, Mapping
@@ -21,20 +21,20 @@
 
 SOURCE = "settings file"
 MAX_QUEUE_LENGTH = 128
-"""Threads of a gateway that may wait for one service; the others go on serving."""
+"""Limits the threads of a gateway that wait for one service, so that others stay free to serve."""
 
 
 class NodeSettings(msgspec.Struct, frozen=True, rename="camel"):
-    """Who and where the process is."""
+    """Identity, location and role of the process."""
 
     name: str
     ip: str
     zone: str
     region: str
     peer_port: int
-    """TCP and UDP port for other nodes; alike on all machines."""
+    """TCP and UDP port for other nodes; the same on all machines."""
     seeds: tuple[str, ...] = ()
-    """Addresses of a few machines, `host:port`; only their IP numbers count."""
+    """Addresses of some machines, `host:port`; only the hosts are used."""
     data_folder: str | None = None
     role: str = ""
     bootstrap: bool = False
@@ -42,7 +42,7 @@
 
 
 class ListenSettings(msgspec.Struct, frozen=True, rename="camel"):
-    """Addresses, `host:port`, of the interfaces that the process serves; None: not served."""
+    """Listen addresses, `host:port`, of the interfaces of the process; None: not served."""
 
     requests: str | None = None
     readiness: str | None = None
@@ -57,150 +57,150 @@
 
 
 class BoundSettings(msgspec.Struct, frozen=True, rename="camel"):
-    """Time bounds that the operator has agreed on."""
+    """Time limits agreed with the operator."""
 
     lease_ms: float = 3_000.0
-    """Time between the orders of two holders of a lease."""
+    """Milliseconds between the last order of a lease's holder and the first of its successor."""
     grace_period_s: float = 8.0
-    """Time from SIGTERM to SIGKILL."""
+    """Seconds between SIGTERM and SIGKILL."""
     address_ttl_s: float = 5.0
-    """Longest time for which clients keep the directory's answer."""
+    """Longest time in seconds for which clients cache an answer of the directory."""
     status_s: float = 120.0
-    """Time for which an ended batch job can be read."""
+    """Seconds for which a batch job can be read after it has ended."""
 
 
 class TenantSettings(msgspec.Struct, frozen=True, rename="camel"):
-    """What becomes of a known key while the configuration may be old."""
+    """Handling of known keys while the configuration may be out of date."""
 
     strict_revoke: bool = False
-    """Whether a key is accepted only while it surely was there `revokeMs` ago. Without it a node
-    that is cut off goes on serving the keys that it knows."""
+    """Accept a key only if it was certainly valid `revokeMs` ago. When off, a node that is
+    partitioned keeps accepting the keys that it knows."""
     revoke_ms: float = 5_000.0
-    """Age of the configuration up to which its keys are accepted, if they are revoked strictly."""
+    """Maximum age in milliseconds of the configuration for its keys to be accepted under
+    `strictRevoke`."""
 
 
 class UsageSettings(msgspec.Struct, frozen=True, rename="camel"):
-    """Reports of what tenants use."""
+    """Reports of tenants' usage."""
 
     address: str | None = None
-    """Interface of the platform that takes the reports, `host:port`; None: none are due."""
+    """Platform interface that receives the reports, `host:port`; None: no reports."""
     window_s: float = 5.0
-    """Length of a window; window k begins k times as long after the beginning of 1970."""
+    """Length of a reporting window in seconds; windows are aligned to the Unix epoch."""
     late_s: float = 10.0
-    """Time after a window's end by which its report is due."""
+    """Seconds after the end of a window by which its report is due."""
 
 
 class ScalingSettings(msgspec.Struct, frozen=True, rename="camel"):
-    """How many workers are ordered."""
+    """Requests to the platform for workers."""
 
     address: str | None = None
-    """Interface of the platform that takes the orders, `host:port`; None: none are given."""
+    """Platform interface that receives the requests, `host:port`; None: no requests."""
     policy: str = "replace"
-    """`hold` orders nothing, `replace` has workers replaced that are gone for good."""
+    """`hold` requests nothing; `replace` requests replacements for permanently lost workers."""
 
 
 class ToleranceSettings(msgspec.Struct, frozen=True, rename="camel"):
-    """What may be lost at once."""
+    """Simultaneous losses that the system tolerates."""
 
     machines: int = 1
-    """Machines with a data folder whose disks may be lost together."""
+    """Machines with a data folder whose disks may be lost at the same time."""
 
     @property
     def replicas(self) -> int:
-        """Replicas of which a majority is left after the loss, and one that has every commit."""
+        """Replicas needed so that a majority survives, with one that has every committed entry."""
         return 2 * max(1, self.machines) + 1
 
 
 class BatchSettings(msgspec.Struct, frozen=True, rename="camel"):
-    """How batch jobs are worked through. Each mechanism can be switched off by itself."""
+    """Scheduling of batch jobs. Each mechanism can be switched off independently."""
 
     long_first: bool = True
-    """Begin a job's items with the texts that are expected to be longest."""
+    """Start a job's items in descending order of expected length."""
     choose_by_pace: bool = True
-    """Run a text at the fastest worker with room, by the pace of its events."""
+    """Run an item at the worker with a free slot that has the lowest time per event."""
     move_runs: bool = True
-    """Have a run go on at another worker when its own is silent or much slower."""
+    """Resume a run at another worker when its own is silent or much slower."""
     keep_texts_s: float = 1.5
-    """Seconds between two parts of a text in the making that the log keeps; 0: none."""
+    """Seconds between two checkpoints of an unfinished text in the log; 0: no checkpoints."""
     carry_texts: bool = True
-    """Go on with texts of an earlier job where a later one hands in the same items."""
+    """Resume texts of an earlier job when a later one submits the same items."""
     guard_refusals: bool = True
     """Send one run at a time to a worker that refuses a model."""
     pass_over_failed: bool = True
-    """Pass workers over for a while after a refusal or failure."""
+    """Avoid a worker for a while after a refusal or failure."""
     set_failing_aside: bool = True
-    """Leave workers alone for a while that fail everything while their fellows don't; their
-    failures count for an item only towards one and a half times the allowed number."""
+    """Quarantine workers that fail every item while other workers do not. Their failures count
+    towards an item only up to one and a half times the allowed number."""
     order_by_need: bool = True
-    """Where steps of several trainers want the same engines, begin with what lets most of the
-    groups that trainers wait for be in time, instead of with the oldest step."""
+    """When steps of several trainers compete for the same engines, start the items that let the
+    most wanted groups finish in time instead of those of the oldest step."""
     place_by_end: bool = False
-    """Where engines are uneven, place texts by when they would end there: long ones may wait a
-    moment for a fast engine, short ones take what is free."""
+    """On engines of unequal speed, assign items by expected completion time: long ones may wait
+    briefly for a fast engine, short ones take any free slot."""
     count_memory: bool = False
-    """Run no more texts at an engine than its memory has room for if each gets as long as it may.
-    For engines whose texts mostly do; where most are short it leaves places empty."""
+    """Limit the texts at an engine to those that fit in its memory at their maximum length.
+    Suits workloads where most texts get that long; otherwise it leaves slots unused."""
     tell_urgency: bool = True
-    """Tell engines which texts are less urgent than others."""
+    """Send engines the relative priority of texts."""
     nearby_reads: bool = True
-    """Have gateways read results from the replica of their zone."""
+    """Let gateways read results from the replica in their zone."""
 
 
 class RolloutSettings(msgspec.Struct, frozen=True, rename="camel"):
-    """How weights are rolled out."""
+    """Rollout of model weights."""
 
     tell_renewals: bool = True
-    """Have the lease's holder tell the other store machines of each renewal."""
+    """Let the lease's holder notify the other store machines of each renewal."""
     sparse_loads: bool = True
-    """Have a worker load only the versions that a trainer's allowance makes necessary."""
+    """Let a worker load only the versions required by a trainer's allowed version lag."""
     tell_jobs: bool = True
-    """Have the jobs' leader tell the lease's holder of each trainer's newest job."""
+    """Let the leader of the jobs notify the lease's holder of each trainer's newest job."""
     tell_loads: bool = True
-    """Have the lease's holder tell the node that runs jobs which workers load."""
+    """Let the lease's holder notify the coordinator of jobs which workers load weights."""
 
 
 class SightSettings(msgspec.Struct, frozen=True, rename="camel"):
-    """What gateways make of what they see of workers. Each can be switched off by itself."""
+    """Use of gateways' observations of workers. Each can be switched off independently."""
 
     share: bool = True
-    """Have gateways tell each other what they see."""
+    """Exchange observations between gateways."""
     set_aside: bool = True
-    """Have workers that do worse than their fellows get trials only."""
+    """Eject workers that perform worse than the others of their service; they get probes only."""
     choose_by_all: bool = True
-    """Choose a worker by the requests and times of all gateways, where others told any."""
+    """Choose workers by the requests and latencies of all gateways, where others sent any."""
     use_worker_load: bool = True
-    """Use the load that workers tell of themselves in the choice, by its age."""
+    """Include the load that workers report, weighted by its age, in the choice."""
     patience_of_fellows: bool = False
-    """Give a first try up after the time that its worker's fellows take."""
+    """Derive the timeout of the first attempt from the latency of the worker's whole service."""
     try_share: float = 0.5
-    """Further tries of all gateways for a service, as a share of first ones, ten more always being
-    allowed; 0: no bound."""
+    """Retry budget of all gateways for a service, as a share of first attempts; ten more are
+    always allowed. 0: unlimited."""
 
 
 class RoomSettings(msgspec.Struct, frozen=True, rename="camel"):
-    """What becomes of plain requests that a service can't take now. Each has its own switch."""
+    """Admission of plain requests at saturated services. Each mechanism has its own switch."""
 
     queue: bool = True
-    """Have requests that would be just late wait for room, in an order of this gateway's."""
+    """Queue requests that would be slightly late, in a priority order of the gateway."""
     refuse_hopeless: bool = True
-    """Refuse requests at once whose deadline surely can't be met."""
+    """Refuse requests at once that certainly cannot meet their deadline."""
     shed: bool = True
-    """Refuse requests at once that would be late because too many others are before them."""
+    """Refuse requests at once that would be late because of the requests ahead of them."""
     reserve: bool = True
-    """Keep room for tenants within their fair shares and for more urgent requests."""
+    """Reserve capacity for tenants within their fair share and for more urgent requests."""
     return_from_room: bool = True
-    """Say when to come back by the time until there is room."""
+    """Compute `Retry-After` from the expected time until a slot is free."""
     send_urgency: bool = True
-    """Tell engines the priority of the tenant, or else of the route."""
+    """Send engines the priority of the tenant or, without one, of the route."""
     wait_share: float = 0.125
-    """Longest wait in the queue, as a share of the route's target time: a client that waits longer
-    would rather be told."""
+    """Longest time in the queue, as a share of the route's target time."""
     longest_queue: int = 64
-    """Most requests that wait for one service; each holds a thread."""
+    """Maximum number of queued requests per service; each blocks a thread."""
 
 
 class HostedSettings(msgspec.Struct, frozen=True, rename="camel"):
-    """The whole settings of one process."""
+    """All settings of a process."""
 
     node: NodeSettings
     listen: ListenSettings
@@ -218,14 +218,14 @@
 
 @dataclass(frozen=True)
 class LoadedSettings:
-    """Settings and the keys that nobody here knows."""
+    """Parsed settings and the unknown keys of the file."""
 
     settings: HostedSettings
     unknown_keys: tuple[str, ...] = field(default=())
 
 
 def load_settings(path: Path) -> LoadedSettings:
-    """Read and check a settings file. Raises `SettingsError`."""
+    """Read and validate a settings file. Raises `SettingsError`."""
     try:
         content = path.read_bytes()
     except OSError as exc:
@@ -234,7 +234,7 @@
 
 
 def parse_settings(content: bytes) -> LoadedSettings:
-    """Check settings in JSON. Raises `SettingsError` with all findings."""
+    """Parse and validate settings in JSON. Raises `SettingsError` with all findings."""
     try:
         raw = msgspec.json.decode(content)
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
@@ -250,7 +250,7 @@
 
 
 def _check_struct(key_path: str, raw: Any, expected: type[msgspec.Struct]) -> Iterator[Finding]:
-    """Findings of each key by itself, so that one wrong key does not hide another."""
+    """Check each key separately, so that one invalid key does not hide another."""
     if not isinstance(raw, Mapping):
         yield _finding(key_path, repr(raw)[:60], "a table")
         return
