--- a/features/hosted_settings.feature
+++ b/features/hosted_settings.feature
@@ -11,7 +11,7 @@
 
   Scenario: Every setting is shown, and where it came from
     Given the settings of a store with moving of runs switched off
-    Then the command "settings hosted FILE" shows the given value and the defaults of the other switches
+    Then the command "settings hosted FILE" shows the given value and the defaults of other switches
     And the command "settings hosted FILE" reports the errors of an invalid file
 
   Scenario: Several faults at once
--- a/features/steps/hosted_settings_steps.py
+++ b/features/steps/hosted_settings_steps.py
@@ -146,9 +146,7 @@
     context.file.write_text(json.dumps(plain), encoding="utf-8")
 
 
-@then(
-    'the command "settings hosted FILE" shows the given value and the defaults of the other switches'
-)
+@then('the command "settings hosted FILE" shows the given value and the defaults of other switches')
 def then_shown(context):
     done = show_settings(context.file)
     assert done.returncode == 0, done.stderr
