--- a/src/bellweir/explanation/summary.py
+++ b/src/bellweir/explanation/summary.py
@@ -42,7 +42,7 @@
     outcome = [
         part
         for part in (
-            _summarize_quarantines([line for line in lines if line.event == "worker_set_aside"]),
+            _summarize_ejections([line for line in lines if line.event == "worker_set_aside"]),
             _summarize_returns([line for line in lines if line.event == "worker_returned"]),
         )
         if part
@@ -50,7 +50,7 @@
     return f"Worker {identifier} {'; it '.join(outcome)}."
 
 
-def _summarize_quarantines(lines: Sequence[LogLine]) -> str:
+def _summarize_ejections(lines: Sequence[LogLine]) -> str:
     if not lines:
         return ""
     first = lines[0]
