--- a/src/bellweir/hosted/batches/refusals.py
+++ b/src/bellweir/hosted/batches/refusals.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable
 
 from bellweir.hosted.incarnation import Incarnation
-from bellweir.hosted.weights.load_messages import LoadListener
+from bellweir.hosted.weights.weight_load_messages import WeightLoadListener
 
 REFUSAL_BACKOFF_S = 0.12
 MAX_WEIGHT_LOAD_S = 5.0
@@ -33,7 +33,7 @@
         self.is_probing = False
 
 
-class RefusalBackoff(LoadListener):
+class RefusalBackoff(WeightLoadListener):
     """Backoff by worker and model. Thread-safe.
 
     After the backoff a worker gets one run at a time until it accepts one. Where a weight load is
@@ -77,7 +77,7 @@
         with self._lock:
             self._back_off(worker, model, REFUSAL_BACKOFF_S)
 
-    def on_load_update(self, worker: Incarnation, model: str, for_s: float) -> None:
+    def on_weight_load_update(self, worker: Incarnation, model: str, for_s: float) -> None:
         """Back off while a worker loads a model's weights; 0 ends the backoff."""
         with self._lock:
             if for_s > 0:
