--- a/src/bellweir/hosted/metrics_service.py
+++ b/src/bellweir/hosted/metrics_service.py
@@ -1,4 +1,4 @@
-"""Service `telemetry`: figures of the process in Prometheus text form, on an address of its own."""
+"""Service `telemetry`: serves the metrics of the process in the Prometheus text format."""
 
 import socket
 import threading
@@ -22,15 +22,14 @@
 
 PATH = "/metrics"
 THREADS = 2
-MAXIMUM_BODY_BYTES = 1 << 16
-BIND_RETRY_S = 2.0
-"""Pause before an address that is in use is tried again: long enough to log one line each time."""
-LONGEST_AGE_S = 1e6
-"""Shown for a view that was never current."""
+MAX_BODY_BYTES = 1 << 16
+BIND_RETRY_INTERVAL_S = 2.0
+MAX_AGE_S = 1e6
+"""Reported for a view that was never current."""
 
 
 class MetricsService(Service):
-    """Holds the figures that other services add to, and serves them."""
+    """Holds the metrics that other services update, and serves them over HTTP."""
 
     name = names.TELEMETRY
     dependencies = (names.VIEWS, names.MEMBERSHIP)
@@ -43,36 +42,36 @@
         self._lock = threading.Lock()
         self._server: HttpServer | None = None
         self._stopped = False
-        self._began_s = time.monotonic()
+        self._started_s = time.monotonic()
 
     def start(self) -> None:
-        """Add the gauges of all roles and listen, where an address is set."""
+        """Add the gauges of all roles and, if an address is set, start to serve."""
         self._add_gauges(self._kernel.registry.find(names.VIEWS, ViewsService))
         if self._address is not None:
             self._kernel.executors.run_task("metrics", partial(self._serve, self._address))
 
     def _serve(self, address: str, stopping: threading.Event) -> None:
-        """Serve the figures, once their address is free: nothing else may wait for that."""
+        """Serve the metrics; runs in a task, since binding the address may have to be retried."""
         listener = self._bind(address, stopping)
         if listener is None:
             return
-        limits = ServerLimits(THREADS, MAXIMUM_BODY_BYTES)
+        limits = ServerLimits(THREADS, MAX_BODY_BYTES)
         server = HttpServer(SimpleApplication(self._answer), listener, limits)
         with self._lock:
             self._server = server
-            is_late = self._stopped
-        if is_late:
+            was_stopped = self._stopped
+        if was_stopped:
             server.close_all()
         server.run_until_closed(stopping)
 
     def _bind(self, address: str, stopping: threading.Event) -> socket.socket | None:
-        """Listen at an address, as soon as it is free; None when the process stops before."""
+        """Bind an address, retrying while it is in use; None if the process stops first."""
         while not stopping.is_set() and not self._stopped:
             try:
                 return bind_address(address)
-            except OSError as failure:
-                emit(METRICS_UNAVAILABLE, address=address, error=repr(failure))
-            stopping.wait(BIND_RETRY_S)
+            except OSError as exc:
+                emit(METRICS_UNAVAILABLE, address=address, error=repr(exc))
+            stopping.wait(BIND_RETRY_INTERVAL_S)
         return None
 
     def stop(self) -> None:
@@ -96,17 +95,17 @@
         add(
             "bellweir_configuration_version",
             "Version of the configuration in force; 0 without one.",
-            lambda: float(found.version) if (found := table()) else 0.0,
+            lambda: float(configuration.version) if (configuration := table()) else 0.0,
         )
         add(
             "bellweir_configuration_age_seconds",
             "Time since the configuration was last known to be the store's.",
-            lambda: min(LONGEST_AGE_S, views.configuration_follower.age_s()),
+            lambda: min(MAX_AGE_S, views.configuration_follower.age_s()),
         )
         add(
             "bellweir_workers_age_seconds",
             "Time since the list of workers was last known to be the store's.",
-            lambda: min(LONGEST_AGE_S, views.workers_follower.age_s()),
+            lambda: min(MAX_AGE_S, views.workers_follower.age_s()),
         )
         add(
             "bellweir_workers_started_again",
@@ -137,5 +136,5 @@
         add(
             "bellweir_uptime_seconds",
             "Time since the process was composed.",
-            lambda: time.monotonic() - self._began_s,
+            lambda: time.monotonic() - self._started_s,
         )
--- a/src/bellweir/hosted/node_settings.py
+++ b/src/bellweir/hosted/node_settings.py
@@ -1,7 +1,7 @@
-"""The settings of the packages that hosted and self-run nodes share, for a hosted process.
+"""Adapts the settings of a hosted process to the packages shared with self-run nodes.
 
-Self-run nodes read these from a file of their own with pydantic, whose import a process that
-must be back at once cannot afford. The classes here have the same attributes.
+Self-run nodes parse theirs with pydantic, whose import would delay the restart of a hosted
+process. The classes here have the same attributes.
 """
 
 from dataclasses import dataclass
@@ -14,11 +14,10 @@
     from bellweir.settings.models import Settings
 
 
-FIRST_START_SPREAD_S = 3.0
-"""Time over which store machines spread their first looks at shared objects of the store.
+FIRST_START_JITTER_S = 3.0
+"""Maximum random delay of store machines before they create shared objects at the first start.
 
-At the first start of all they look for objects that one of them has to make, and the others are
-told of; traffic starts 12 s later or more. At any later start nothing is held up.
+One machine creates them and notifies the others. Later starts are not delayed.
 """
 
 
@@ -80,10 +79,10 @@
 
 
 def node_settings(settings: HostedSettings) -> "Settings":
-    """The shared packages' view of the settings."""
+    """Return the settings in the form that the shared packages expect."""
     node = settings.node
     folder = Path(node.data_folder) if node.data_folder is not None else None
-    made = _Settings(
+    shared = _Settings(
         _Node(node.name, node.zone, node.region, folder),
         _Trust(),
         _NetworkFaults(),
@@ -91,24 +90,24 @@
         _Ledger(
             replicas=settings.tolerate.replicas,
             creation_least=settings.tolerate.machines + 1,
-            creation_spread_s=FIRST_START_SPREAD_S if node.bootstrap else 0.0,
+            creation_spread_s=FIRST_START_JITTER_S if node.bootstrap else 0.0,
         ),
         _Platform(settings.store.address),
     )
-    return cast("Settings", made)
+    return cast("Settings", shared)
 
 
 def seed_addresses(settings: HostedSettings) -> tuple[str, ...]:
-    """Peer addresses of the seeds: their IP numbers with the port that all machines share."""
+    """Peer addresses of the other seeds: their hosts with the peer port of all machines."""
     hosts = dict.fromkeys(seed.rpartition(":")[0] for seed in settings.node.seeds)
     own = settings.node.ip
     return tuple(f"{host}:{settings.node.peer_port}" for host in hosts if host != own)
 
 
-def seeds_to_ask(settings: HostedSettings) -> tuple[str, ...]:
-    """Peer addresses that this node asks first when it starts; none for a seed itself.
+def startup_seed_addresses(settings: HostedSettings) -> tuple[str, ...]:
+    """Peer addresses that this node queries first at start; empty for a seed.
 
-    The seeds read the platform's store at once, so that somebody does.
+    Seeds read the platform's store directly, so that at least one node does.
     """
     hosts = {seed.rpartition(":")[0] for seed in settings.node.seeds}
     return () if settings.node.ip in hosts else seed_addresses(settings)
