--- a/bench/routing_reports.py
+++ b/bench/routing_reports.py
@@ -46,7 +46,7 @@
             case SubscribeReports():
                 target.publisher.subscribe(self.name, message, self._run.now_s)
             case PushReports():
-                target.subscriber.take(message, self._run.now_s)
+                target.subscriber.apply(message, self._run.now_s)
         return True
 
     def tick(self) -> None:
--- a/features/steps/routing_choice_steps.py
+++ b/features/steps/routing_choice_steps.py
@@ -24,7 +24,7 @@
 from bellweir.routing.backend import Backend, BackendReport
 from bellweir.routing.cache_events import RESYNC_PERIOD_S, CacheEventReader
 from bellweir.routing.circuit import Circuit
-from bellweir.routing.comparisons import arm_for
+from bellweir.routing.comparisons import assign_arm
 from bellweir.routing.hedging import HEDGED_SHARE, HedgePolicy
 from bellweir.routing.metrics import RoutingCollector
 from bellweir.routing.pool_table import PoolTable
@@ -101,7 +101,7 @@
         before = _comparison(shares)
         after = _comparison([shares[0] * factor, *shares[1:]])
         for unit in UNITS:
-            old, new = arm_for(before, unit).name, arm_for(after, unit).name
+            old, new = assign_arm(before, unit).name, assign_arm(after, unit).name
             if old != new:
                 assert (new if factor > 1 else old) == "arm-0", (old, new)
 
@@ -111,7 +111,7 @@
 @then("routing's arms get about their shares")
 def step_shares(context):
     comparison = _comparison([1.0, 2.0, 5.0])
-    counts = Counter(arm_for(comparison, f"unit-{number}").name for number in range(8000))
+    counts = Counter(assign_arm(comparison, f"unit-{number}").name for number in range(8000))
     for name, expected in (("arm-0", 1000), ("arm-1", 2000), ("arm-2", 5000)):
         assert abs(counts[name] - expected) < 200, counts
 
@@ -137,7 +137,7 @@
 def step_versions_of_arms(context):
     versions = set()
     for unit in UNITS[:20]:
-        expected = arm_for(context.comparison, unit).version
+        expected = assign_arm(context.comparison, unit).version
         request = context.cluster.generation_request(2, unit=unit)
         for chunk in context.node.generate(request).unwrap():
             assert chunk.unwrap().weight_version == expected
--- a/features/steps/routing_reports_steps.py
+++ b/features/steps/routing_reports_steps.py
@@ -8,20 +8,20 @@
 from bellweir.routing.messages import SubscribeReports
 from bellweir.routing.report_publisher import (
     ENTRY_BYTES,
-    HEARTBEAT_S,
-    LONGEST_PUSH_PERIOD_S,
+    HEARTBEAT_INTERVAL_S,
+    MAX_PUSH_INTERVAL_S,
     PUSH_BYTES_PER_S,
     ReportPublisher,
 )
-from bellweir.routing.report_subscriber import RENEWAL_S
-from bellweir.routing.views_service import STALE_S
+from bellweir.routing.report_subscriber import RENEWAL_INTERVAL_S
+from bellweir.routing.views_service import MAX_REPORT_AGE_S
 from support.routing_claims import InlineExecutors, OffsetClock
 from support.routing_cluster import APPLICATION_POOL, RoutingCluster
 from support.routing_fakes import Fault, error_of
 
 PERIOD_S = 0.5
 NODES = 4
-CONVERGENCE_S = STALE_S + RENEWAL_S + HEARTBEAT_S
+CONVERGENCE_S = MAX_REPORT_AGE_S + RENEWAL_INTERVAL_S + HEARTBEAT_INTERVAL_S
 WORKERS = st.integers(0, NODES - 1)
 CHANGES = st.lists(
     st.one_of(
@@ -45,7 +45,7 @@
     for _ in range(NODES):
         cluster.add_node()
     context.cluster = cluster
-    _tick(context, range(NODES), RENEWAL_S + PERIOD_S)  # the first nodes asked too early
+    _tick(context, range(NODES), RENEWAL_INTERVAL_S + PERIOD_S)  # the first nodes asked too early
 
 
 def _own_in_turn(cluster):
@@ -202,7 +202,7 @@
             publisher.push(now_s)
         assert entries
         pairs = nodes * workers
-        allowed_per_s = max(PUSH_BYTES_PER_S / ENTRY_BYTES, pairs / LONGEST_PUSH_PERIOD_S)
+        allowed_per_s = max(PUSH_BYTES_PER_S / ENTRY_BYTES, pairs / MAX_PUSH_INTERVAL_S)
         assert len(entries) <= allowed_per_s * ticks * PERIOD_S + pairs
 
     bounded()
--- a/features/steps/routing_results_steps.py
+++ b/features/steps/routing_results_steps.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from bellweir.resources.interface import ResourceErrorKind
-from bellweir.routing.arm_status import WRITE_PERIOD_S
+from bellweir.routing.arm_status import WRITE_INTERVAL_S
 from steps.whole_system_steps import POLICY, call, completion, gateways
 from support.arm_results_network import ResultsNetwork
 
@@ -162,7 +162,7 @@
     written_s = context.network.stored.writes_s
     assert 2 <= len(written_s) <= most, written_s
     gaps_s = [after - before for before, after in itertools.pairwise(written_s)]
-    assert min(gaps_s) >= WRITE_PERIOD_S, gaps_s
+    assert min(gaps_s) >= WRITE_INTERVAL_S, gaps_s
 
 
 @then("routing's results are not written while nothing changes")
@@ -198,7 +198,7 @@
     while not network.written():
         node.fault = "answer lost"
         network.step()
-    assert node.reports._in_flight.may_be_taken
+    assert node.reports._in_flight.may_be_accepted
 
 
 @when("routing's reporter of the results is lost")
--- a/features/support/arm_results_network.py
+++ b/features/support/arm_results_network.py
@@ -12,7 +12,7 @@
 from bellweir.membership.interface import Member, MemberState
 from bellweir.resources.interface import ResourceDocument, ResourceError, ResourceErrorKind
 from bellweir.resources.status import merged_status
-from bellweir.routing.arm_counters import ArmCounters, ArmName
+from bellweir.routing.arm_counters import ArmCounters, ArmKey
 from bellweir.routing.arm_reports import ArmReports
 from bellweir.routing.arm_results import ArmResults
 from bellweir.routing.arm_status import ArmStatusWriter
@@ -113,17 +113,17 @@
 
     def count(self, arm, tokens):
         """Serve one generation of an arm."""
-        name = ArmName(COMPARISON, arm)
-        self.counters.count_start(name)
-        self.counters.count_first_token(name, 0.25)
-        self.counters.count_end(name, COMPLETED, tokens, 1.5)
+        name = ArmKey(COMPARISON, arm)
+        self.counters.record_start(name)
+        self.counters.record_first_token(name, 0.25)
+        self.counters.record_end(name, COMPLETED, tokens, 1.5)
         self.counted[arm] += 1
 
     def held(self):
         """Counts that are lost with this node: what it holds or has not even collected."""
         held = Counter()
         self.reports.collect()
-        for counts in self.reports.held(COMPARISON):
+        for counts in self.reports.counts_for(COMPARISON):
             held[counts.arm] += counts.completed
         if self.reports._in_flight is not None:
             for counts in self.reports._in_flight.counts:
@@ -167,7 +167,7 @@
     def step(self, seconds=0.5):
         self.clock.advance(seconds)
         for node in list(self.nodes):
-            node.results.look()
+            node.results.run_once()
 
     def settle(self):
         """Let every fault be over and every period pass."""
--- a/src/bellweir/routing/arm_counters.py
+++ b/src/bellweir/routing/arm_counters.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True)
-class ArmName:
+class ArmKey:
     """An arm of a comparison."""
 
     comparison: str
@@ -31,21 +31,21 @@
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._by_arm: dict[ArmName, _Counts] = {}
+        self._by_arm: dict[ArmKey, _Counts] = {}
 
-    def count_start(self, arm: ArmName) -> None:
+    def record_start(self, arm: ArmKey) -> None:
         """Count a generation that was admitted."""
         with self._lock:
             self._by_arm.setdefault(arm, _Counts()).started += 1
 
-    def count_first_token(self, arm: ArmName, latency_s: float) -> None:
+    def record_first_token(self, arm: ArmKey, latency_s: float) -> None:
         """Take the time to a first token."""
         with self._lock:
             counts = self._by_arm.setdefault(arm, _Counts())
             counts.first_token_s += latency_s
             counts.first_tokens += 1
 
-    def count_end(self, arm: ArmName, outcome: str, tokens: int, took_s: float) -> None:
+    def record_end(self, arm: ArmKey, outcome: str, tokens: int, took_s: float) -> None:
         """Count the end of a generation."""
         with self._lock:
             counts = self._by_arm.setdefault(arm, _Counts())
--- a/src/bellweir/routing/arm_counts.py
+++ b/src/bellweir/routing/arm_counts.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from bellweir.routing.arm_counters import ArmName
+from bellweir.routing.arm_counters import ArmKey
 from bellweir.routing.interface import ArmStatistics
 from bellweir.wire.interface import Message
 
@@ -25,12 +25,12 @@
     """Sum of times of completed generations, in seconds."""
 
     @property
-    def name(self) -> ArmName:
+    def key(self) -> ArmKey:
         """The arm these counts are of."""
-        return ArmName(self.comparison, self.arm)
+        return ArmKey(self.comparison, self.arm)
 
     @property
-    def is_nothing(self) -> bool:
+    def is_zero(self) -> bool:
         """Whether nothing was counted."""
         return not (self.started or self.completed or self.failed or self.first_tokens)
 
@@ -71,22 +71,22 @@
     """Sums by arm; not thread-safe."""
 
     def __init__(self) -> None:
-        self._by_arm: dict[ArmName, ArmCounts] = {}
+        self._by_arm: dict[ArmKey, ArmCounts] = {}
 
     def add(self, counts: Iterable[ArmCounts]) -> None:
         """Add counts to the sums of their arms."""
         for each in counts:
-            self._by_arm[each.name] = self._sum_of(each.name).plus(each)
+            self._by_arm[each.key] = self._sum_of(each.key).plus(each)
 
     def subtract(self, counts: Iterable[ArmCounts]) -> None:
         """Take counts away that have been added before."""
         for each in counts:
-            rest = self._sum_of(each.name).plus(each, -1)
-            self._by_arm[each.name] = rest
-            if rest.is_nothing:
-                del self._by_arm[each.name]
+            rest = self._sum_of(each.key).plus(each, -1)
+            self._by_arm[each.key] = rest
+            if rest.is_zero:
+                del self._by_arm[each.key]
 
-    def take_all(self) -> tuple[ArmCounts, ...]:
+    def pop_all(self) -> tuple[ArmCounts, ...]:
         """The sums; nothing is left."""
         taken = tuple(self._by_arm.values())
         self._by_arm = {}
@@ -94,17 +94,17 @@
 
     def comparisons(self) -> set[str]:
         """Comparisons of which there are sums."""
-        return {name.comparison for name in self._by_arm}
+        return {key.comparison for key in self._by_arm}
 
-    def of(self, comparison: str) -> tuple[ArmCounts, ...]:
+    def for_comparison(self, comparison: str) -> tuple[ArmCounts, ...]:
         """Sums of one comparison's arms."""
         return tuple(sums for sums in self._by_arm.values() if sums.comparison == comparison)
 
-    def _sum_of(self, name: ArmName) -> ArmCounts:
-        return self._by_arm.get(name, ArmCounts(name.comparison, name.arm))
+    def _sum_of(self, key: ArmKey) -> ArmCounts:
+        return self._by_arm.get(key, ArmCounts(key.comparison, key.arm))
 
 
-def counts_of(statistics: ArmStatistics) -> ArmCounts:
+def to_counts(statistics: ArmStatistics) -> ArmCounts:
     """A node's statistics of an arm, as counts."""
     return ArmCounts(
         statistics.comparison,
--- a/src/bellweir/routing/arm_results.py
+++ b/src/bellweir/routing/arm_results.py
@@ -8,7 +8,7 @@
 from bellweir.routing.arm_reports import ArmReports
 from bellweir.routing.arm_status import ArmStatusWriter
 
-LOOK_PERIOD_S = 0.5
+POLL_INTERVAL_S = 0.5
 """Time between two looks at what is due, in seconds."""
 
 
@@ -28,21 +28,21 @@
         """Look now and then until the executors stop or the node drains."""
         while not (stopping.is_set() or self._ending.is_set()):
             if all_started.is_set():
-                self.look()
-            self._clock.wait(self._ending, LOOK_PERIOD_S)
+                self.run_once()
+            self._clock.wait(self._ending, POLL_INTERVAL_S)
 
-    def look(self) -> None:
+    def run_once(self) -> None:
         """One round of collecting, passing on and writing."""
         self._reports.collect()
         writer = self._current_writer()
         if writer is None:
             return
-        if self._reports.next_node() is None:
+        if self._reports.next_hop() is None:
             self._reports.send_now()
-            writer.look()
+            writer.write_due()
         else:
-            writer.settle()
-            self._reports.look()
+            writer.hand_over()
+            self._reports.send_if_due()
 
     def end(self) -> None:
         """End the task soon."""
@@ -58,11 +58,11 @@
         writer = self._current_writer()
         if writer is None:
             return
-        if self._reports.next_node() is None:
+        if self._reports.next_hop() is None:
             self._reports.send_now()
             writer.write_now()
             return
-        writer.settle()
+        writer.hand_over()
         # One report may be in flight from before; what was counted since follows it.
         for _ in range(2):
             self._reports.send_now()
--- a/src/bellweir/routing/arm_status.py
+++ b/src/bellweir/routing/arm_status.py
@@ -19,33 +19,33 @@
 from bellweir.routing.log_events import ARM_RESULTS_NOT_WRITTEN
 
 KIND = "Comparison"
-RESULTS = "results"
+RESULTS_KEY = "results"
 """Key of the results in the status' details."""
-FIRST_WRITE_S = 2.0
+FIRST_WRITE_DELAY_S = 2.0
 """Time from the first counts held to their write, so that the nodes' reports come together."""
-WRITE_PERIOD_S = 10.0
+WRITE_INTERVAL_S = 10.0
 """Least time between two writes of one comparison, in seconds: at most 8,640 a day."""
-CONFLICT_RETRY_S = 1.0
+CONFLICT_BACKOFF_S = 1.0
 """Time until the version that was in the way is in force here, in seconds."""
 _DECIMALS = 6
 
 
 @dataclass(frozen=True)
-class _Addition:
+class _StatusUpdate:
     """Counts that a write adds to the status."""
 
-    mark: str
+    write_id: str
     counts: tuple[ArmCounts, ...]
 
 
 @dataclass
-class _Written:
+class _WriteState:
     """What this node knows of its writes of one comparison."""
 
-    next_s: float
+    next_write_s: float
     version: int = 0
     """Revision of the last write that succeeded."""
-    unknown: _Addition | None = None
+    unconfirmed: _StatusUpdate | None = None
     """What a write of unknown outcome may have added; nothing else is added before it is known."""
 
 
@@ -57,104 +57,104 @@
         self._reports = reports
         self._resources = resources
         self._clock = clock
-        self._written: dict[str, _Written] = {}
+        self._states: dict[str, _WriteState] = {}
 
-    def look(self) -> None:
+    def write_due(self) -> None:
         """Write the comparisons that are due."""
         held = self._reports.comparisons()
         now_s = self._clock.monotonic_s()
         for name in sorted(held):
-            written = self._written.setdefault(name, _Written(now_s + FIRST_WRITE_S))
-            if now_s >= written.next_s:
-                self._write(name, written)
-        for name in [name for name in self._written if name not in held]:
-            if now_s >= self._written[name].next_s:
-                self._forget(name, self._written[name])
+            state = self._states.setdefault(name, _WriteState(now_s + FIRST_WRITE_DELAY_S))
+            if now_s >= state.next_write_s:
+                self._write(name, state)
+        for name in [name for name in self._states if name not in held]:
+            if now_s >= self._states[name].next_write_s:
+                self._discard_state(name, self._states[name])
 
     def write_now(self) -> None:
         """Write everything, due or not: the node is stopping."""
         for name in sorted(self._reports.comparisons()):
-            self._write(name, self._written.setdefault(name, _Written(0.0)))
+            self._write(name, self._states.setdefault(name, _WriteState(0.0)))
 
-    def settle(self) -> None:
+    def hand_over(self) -> None:
         """Let go what writes of unknown outcome may have added: another node reports now."""
-        for name, written in self._written.items():
-            self._resolve(name, written)
-            if written.unknown is not None:
+        for name, state in self._states.items():
+            self._check_unconfirmed(name, state)
+            if state.unconfirmed is not None:
                 # Passed on, it might be counted twice.
-                self._reports.remove(written.unknown.counts)
-        self._written = {}
+                self._reports.remove(state.unconfirmed.counts)
+        self._states = {}
 
-    def _forget(self, name: str, written: _Written) -> None:
+    def _discard_state(self, name: str, state: _WriteState) -> None:
         """Keep nothing of a comparison whose last write is in force, or that is gone."""
         match self._resources.get(KIND, name):
-            case Success(document) if document.version < written.version:
+            case Success(document) if document.version < state.version:
                 return
-        del self._written[name]
+        del self._states[name]
 
-    def _resolve(self, name: str, written: _Written) -> None:
-        if written.unknown is None:
+    def _check_unconfirmed(self, name: str, state: _WriteState) -> None:
+        if state.unconfirmed is None:
             return
         match self._resources.get(KIND, name):
             case Success(document):
-                self._note_mark(results_of(document), written)
+                self._confirm_write(read_results(document), state)
 
-    def _note_mark(self, results: Mapping[str, Any], written: _Written) -> None:
-        addition = written.unknown
-        if addition is not None and addition.mark == results.get("mark"):
-            self._reports.remove(addition.counts)
-            written.unknown = None
+    def _confirm_write(self, results: Mapping[str, Any], state: _WriteState) -> None:
+        update = state.unconfirmed
+        if update is not None and update.write_id == results.get("mark"):
+            self._reports.remove(update.counts)
+            state.unconfirmed = None
 
-    def _write(self, name: str, written: _Written) -> None:
-        written.next_s = self._clock.monotonic_s() + WRITE_PERIOD_S
+    def _write(self, name: str, state: _WriteState) -> None:
+        state.next_write_s = self._clock.monotonic_s() + WRITE_INTERVAL_S
         match self._resources.get(KIND, name):
-            case Success(document) if document.version >= written.version:
-                self._note_mark(results_of(document), written)
-                self._add(document, written)
+            case Success(document) if document.version >= state.version:
+                self._confirm_write(read_results(document), state)
+                self._write_update(document, state)
             case Failure(error) if error.kind is ResourceErrorKind.NOT_FOUND:
-                self._reports.remove(self._reports.held(name))
-                written.unknown = None
+                self._reports.remove(self._reports.counts_for(name))
+                state.unconfirmed = None
 
-    def _add(self, document: ResourceDocument, written: _Written) -> None:
-        name, results = document.name, results_of(document)
-        addition = written.unknown or self._new_addition(name)
-        if not addition.counts:
+    def _write_update(self, document: ResourceDocument, state: _WriteState) -> None:
+        name, results = document.name, read_results(document)
+        update = state.unconfirmed or self._new_update(name)
+        if not update.counts:
             return
-        arms = _arms_after(results, addition.counts)
-        status = {"details": {RESULTS: {"mark": addition.mark, "arms": arms}}}
+        arms = _add_to_arms(results, update.counts)
+        status = {"details": {RESULTS_KEY: {"mark": update.write_id, "arms": arms}}}
         # By version: another node that takes itself for the reporter may write at the same time.
         match self._resources.report_status(KIND, name, status, version=document.version):
             case Success(stored):
-                self._reports.remove(addition.counts)
-                written.version = stored.version
-                written.unknown = None
+                self._reports.remove(update.counts)
+                state.version = stored.version
+                state.unconfirmed = None
             case Failure(error) if error.kind is ResourceErrorKind.CONFLICT:
-                written.next_s = self._clock.monotonic_s() + CONFLICT_RETRY_S
+                state.next_write_s = self._clock.monotonic_s() + CONFLICT_BACKOFF_S
             case Failure(error):
                 emit(ARM_RESULTS_NOT_WRITTEN, node=self._node, name=name, error=error.detail)
                 if error.kind is ResourceErrorKind.UNKNOWN:
-                    written.unknown = addition
+                    state.unconfirmed = update
 
-    def _new_addition(self, name: str) -> _Addition:
-        return _Addition(f"{self._node}/{uuid.uuid4().hex}", self._reports.held(name))
+    def _new_update(self, name: str) -> _StatusUpdate:
+        return _StatusUpdate(f"{self._node}/{uuid.uuid4().hex}", self._reports.counts_for(name))
 
 
-def results_of(document: ResourceDocument) -> Mapping[str, Any]:
+def read_results(document: ResourceDocument) -> Mapping[str, Any]:
     """The results in a comparison's status; empty before the first write."""
     details = document.document.get("status", {}).get("details", {})
-    results: Mapping[str, Any] = details.get(RESULTS, {})
+    results: Mapping[str, Any] = details.get(RESULTS_KEY, {})
     return results
 
 
-def _arms_after(results: Mapping[str, Any], counts: tuple[ArmCounts, ...]) -> dict[str, Any]:
+def _add_to_arms(results: Mapping[str, Any], counts: tuple[ArmCounts, ...]) -> dict[str, Any]:
     arms = results.get("arms", {})
     return {
-        each.arm: _document_of(_counts_in(each, arms.get(each.arm, {})).plus(each))
+        each.arm: _to_document(_counts_from(each, arms.get(each.arm, {})).plus(each))
         for each in counts
     }
 
 
-def _counts_in(arm: ArmCounts, document: Mapping[str, Any]) -> ArmCounts:
+def _counts_from(arm: ArmCounts, document: Mapping[str, Any]) -> ArmCounts:
     return ArmCounts(
         arm.comparison,
         arm.arm,
@@ -168,7 +168,7 @@
     )
 
 
-def _document_of(counts: ArmCounts) -> dict[str, Any]:
+def _to_document(counts: ArmCounts) -> dict[str, Any]:
     return {
         "started": counts.started,
         "completed": counts.completed,
--- a/src/bellweir/routing/generation_attempt.py
+++ b/src/bellweir/routing/generation_attempt.py
@@ -14,7 +14,7 @@
 from bellweir.kernel.clock import Clock
 from bellweir.kernel.executors import Executors
 from bellweir.resources.models import Pool, RequestClass
-from bellweir.routing.arm_counters import ArmName
+from bellweir.routing.arm_counters import ArmKey
 from bellweir.routing.attempts import AttemptHold, RequestAttempts, new_attempt_id
 from bellweir.routing.backend import Backend
 from bellweir.routing.cancellations import Cancellations
@@ -40,7 +40,7 @@
     model: str
     minimum_version: int | None
     exact_version: int | None
-    arm: ArmName | None = None
+    arm: ArmKey | None = None
     """The comparison's arm that was chosen."""
 
 
--- a/src/bellweir/routing/generation_requests.py
+++ b/src/bellweir/routing/generation_requests.py
@@ -5,9 +5,9 @@
 from bellweir.configuration.interface import Configuration, ConfigurationSnapshot
 from bellweir.kernel.clock import Clock
 from bellweir.routing.admissions import Admission, Admissions, not_configured, not_run
-from bellweir.routing.arm_counters import ArmCounters, ArmName
+from bellweir.routing.arm_counters import ArmCounters, ArmKey
 from bellweir.routing.attempts import RETRY_AFTER_S, RequestAttempts
-from bellweir.routing.comparisons import arm_for, comparison_of
+from bellweir.routing.comparisons import assign_arm, find_comparison
 from bellweir.routing.counters import COMPLETED, DispatchCounters
 from bellweir.routing.generation import GenerationListener, RoutedGeneration
 from bellweir.routing.generation_attempt import (
@@ -102,20 +102,20 @@
     ) -> RoutedGeneration:
         note_latency = runtime.gates[request.request_class].note_latency
         if route.arm is not None:
-            self._arms.count_start(route.arm)
+            self._arms.record_start(route.arm)
 
         def on_first_token(latency_s: float) -> None:
             note_latency(latency_s)
             if route.arm is not None:
                 # From before the first attempt: an engine may answer with its first token only.
-                self._arms.count_first_token(route.arm, self._clock.monotonic_s() - began_s)
+                self._arms.record_first_token(route.arm, self._clock.monotonic_s() - began_s)
 
         def on_end(outcome: str) -> None:
             self._watch.remove(generation)
             self._counters.count_outcome(outcome)
             if route.arm is not None:
                 took_s = self._clock.monotonic_s() - began_s
-                self._arms.count_end(route.arm, outcome, generation.token_count, took_s)
+                self._arms.record_end(route.arm, outcome, generation.token_count, took_s)
             if outcome == COMPLETED:
                 runtime.budget.on_success(self._clock.monotonic_s())
             self._admissions.end(admission)
@@ -139,11 +139,11 @@
 ) -> Result[GenerationRoute, Refusal]:
     """What the request's policy asks of an engine, after the policy's comparison."""
     policy_name, exact_version, chosen = request.policy, None, None
-    comparison = comparison_of(request.policy, snapshot.comparisons.values())
+    comparison = find_comparison(request.policy, snapshot.comparisons.values())
     if comparison is not None:
-        arm = arm_for(comparison, request.unit or request.caller)
+        arm = assign_arm(comparison, request.unit or request.caller)
         policy_name, exact_version = arm.policy, arm.version
-        chosen = ArmName(comparison.metadata.name, arm.name)
+        chosen = ArmKey(comparison.metadata.name, arm.name)
     policy = snapshot.policies.get(policy_name)
     if policy is None:
         detail = f"no policy named {policy_name!r}"
--- a/src/bellweir/routing/messages.py
+++ b/src/bellweir/routing/messages.py
@@ -6,7 +6,7 @@
 from bellweir.wire.interface import Message
 
 
-class ReportFacts(msgspec.Struct, frozen=True, array_like=True):
+class BackendStatus(msgspec.Struct, frozen=True, array_like=True):
     """What rarely changes of a back end; sent when it has changed and when asked for."""
 
     ready: bool
@@ -27,9 +27,9 @@
     load: int
     interactive: int
     """Subscribers that have requests on it which callers wait for."""
-    facts_number: int
+    status_version: int
     """Changes with the facts; an owner counts from a random start."""
-    facts: ReportFacts | None = None
+    status: BackendStatus | None = None
     """None when they were sent before under the same number."""
 
 
@@ -62,9 +62,9 @@
     removed: bytes
 
 
-def facts_of(report: BackendReport) -> ReportFacts:
+def status_of(report: BackendReport) -> BackendStatus:
     """The facts in a report."""
-    return ReportFacts(
+    return BackendStatus(
         report.ready,
         report.leaving,
         report.reachable,
@@ -74,16 +74,16 @@
     )
 
 
-def report_of(entry: ReportEntry, facts: ReportFacts, now_s: float) -> BackendReport:
+def report_of(entry: ReportEntry, status: BackendStatus, now_s: float) -> BackendReport:
     """The report that an entry stands for, on this node's clock."""
     return BackendReport(
-        ready=facts.ready,
-        leaving=facts.leaving,
-        reachable=facts.reachable,
+        ready=status.ready,
+        leaving=status.leaving,
+        reachable=status.reachable,
         load=entry.load,
         made_s=now_s - entry.age_ms / 1000.0,
-        weight_version=facts.weight_version,
-        model=facts.model,
-        maximum_batch=facts.maximum_batch,
+        weight_version=status.weight_version,
+        model=status.model,
+        maximum_batch=status.maximum_batch,
         interactive=entry.interactive,
     )
--- a/src/bellweir/routing/report_publisher.py
+++ b/src/bellweir/routing/report_publisher.py
@@ -7,24 +7,24 @@
 
 from bellweir.routing.backend import BackendReport
 from bellweir.routing.messages import (
+    BackendStatus,
     PushReports,
     ReportEntry,
-    ReportFacts,
     SubscribeReports,
-    facts_of,
+    status_of,
 )
 
-SUBSCRIPTION_LIFE_S = 12.0
+SUBSCRIPTION_TTL_S = 12.0
 """A subscription that is not renewed ends after this time."""
-HEARTBEAT_S = 2.0
+HEARTBEAT_INTERVAL_S = 2.0
 """A report that has not changed is sent again after this time, so that it does not grow stale."""
 ENTRY_BYTES = 80
 """About the bytes of one report in a message of its own; measured by bench/routing_reports.py."""
 PUSH_BYTES_PER_S = 2048
 """Bound of what an owner sends, by sending less often; urgent changes are not held back."""
-LONGEST_PUSH_PERIOD_S = 2.0
+MAX_PUSH_INTERVAL_S = 2.0
 """Reports must not grow stale, so that beyond about 50 pairs the bytes grow with the pairs."""
-MAXIMUM_SUBSCRIPTIONS = 4096
+MAX_SUBSCRIPTIONS = 4096
 """Pairs of subscriber and back end that one owner serves."""
 
 SendReports = Callable[[str, PushReports], bool]
@@ -34,16 +34,16 @@
 class _Subscription:
     expires_s: float
     interactive: bool = False
-    told: ReportEntry | None = None
-    told_s: float = 0.0
-    wants_facts: bool = True
+    last_sent: ReportEntry | None = None
+    last_sent_s: float = 0.0
+    needs_status: bool = True
 
 
 @dataclass
-class _Published:
+class _PublishedBackend:
     report: BackendReport | None = None
-    facts: ReportFacts | None = None
-    facts_number: int = field(default_factory=lambda: random.getrandbits(30))
+    status: BackendStatus | None = None
+    status_version: int = field(default_factory=lambda: random.getrandbits(30))
     subscribers: dict[str, _Subscription] = field(default_factory=dict)
 
     def interactive(self) -> int:
@@ -58,14 +58,14 @@
         self,
         send: SendReports,
         report_period_s: float,
-        used_here: Callable[[str], bool] = lambda _: False,
+        is_used_locally: Callable[[str], bool] = lambda _: False,
     ) -> None:
         self._send = send
-        self._used_here = used_here
+        self._is_used_locally = is_used_locally
         """Whether this node itself uses a back end for callers."""
         self._report_period_s = report_period_s
         self._lock = threading.Lock()
-        self._published: dict[str, _Published] = {}
+        self._published: dict[str, _PublishedBackend] = {}
         self._pairs = 0
         self._next_push_s = 0.0
 
@@ -83,11 +83,11 @@
                 subscription = self._subscription(worker, address, now_s)
                 if subscription is None:
                     return
-                subscription.expires_s = now_s + SUBSCRIPTION_LIFE_S
+                subscription.expires_s = now_s + SUBSCRIPTION_TTL_S
                 subscription.interactive = worker in interactive
-                subscription.wants_facts = subscription.wants_facts or worker in fresh
+                subscription.needs_status = subscription.needs_status or worker in fresh
 
-    def interactive_of(self, worker: str) -> int:
+    def interactive_subscribers(self, worker: str) -> int:
         """Subscribers with requests on a back end that callers wait for."""
         with self._lock:
             published = self._published.get(worker)
@@ -95,7 +95,7 @@
                 return 0
             return published.interactive()
 
-    def subscribers_of(self, worker: str) -> list[str]:
+    def subscribers_to(self, worker: str) -> list[str]:
         """Addresses of the nodes that want reports of a back end."""
         with self._lock:
             published = self._published.get(worker)
@@ -103,18 +103,18 @@
 
     def publish(self, worker: str, report: BackendReport, now_s: float) -> None:
         """Take a probe's report; changed facts are sent at once, load at the next push."""
-        facts = facts_of(report)
+        status = status_of(report)
         with self._lock:
             published = self._published.get(worker)
             if published is None:
                 return
             published.report = report
-            urgent = published.facts != facts
+            urgent = published.status != status
             if urgent:
-                published.facts = facts
-                published.facts_number += 1
+                published.status = status
+                published.status_version += 1
                 for subscription in published.subscribers.values():
-                    subscription.wants_facts = True
+                    subscription.needs_status = True
             batches = self._collect([worker], now_s) if urgent else {}
         self._send_all(batches)
 
@@ -123,20 +123,20 @@
         with self._lock:
             if now_s < self._next_push_s:
                 return
-            self._next_push_s = now_s + self.push_period_s()
+            self._next_push_s = now_s + self.push_interval_s()
             batches = self._collect(list(self._published), now_s)
         self._send_all(batches)
 
-    def push_period_s(self) -> float:
+    def push_interval_s(self) -> float:
         """Time between two pushes: longer the more pairs there are, so that bytes are bounded."""
-        bounded_s = min(LONGEST_PUSH_PERIOD_S, self._pairs * ENTRY_BYTES / PUSH_BYTES_PER_S)
+        bounded_s = min(MAX_PUSH_INTERVAL_S, self._pairs * ENTRY_BYTES / PUSH_BYTES_PER_S)
         return max(self._report_period_s, bounded_s)
 
     def _subscription(self, worker: str, address: str, now_s: float) -> _Subscription | None:
-        published = self._published.setdefault(worker, _Published())
+        published = self._published.setdefault(worker, _PublishedBackend())
         subscription = published.subscribers.get(address)
         if subscription is None:
-            if self._pairs >= MAXIMUM_SUBSCRIPTIONS:
+            if self._pairs >= MAX_SUBSCRIPTIONS:
                 return None
             subscription = _Subscription(now_s)
             published.subscribers[address] = subscription
@@ -159,14 +159,16 @@
             published = self._published[worker]
             if published.report is None:
                 continue
-            interactive = published.interactive() + self._used_here(worker)
+            interactive = published.interactive() + self._is_used_locally(worker)
             for address, subscription in published.subscribers.items():
-                entry = _entry(worker, published, interactive, subscription.wants_facts, now_s)
-                if entry is None or not _worth_telling(subscription, entry, now_s):
+                entry = _make_entry(
+                    worker, published, interactive, subscription.needs_status, now_s
+                )
+                if entry is None or not _should_send(subscription, entry, now_s):
                     continue
-                subscription.told = entry
-                subscription.told_s = now_s
-                subscription.wants_facts = False
+                subscription.last_sent = entry
+                subscription.last_sent_s = now_s
+                subscription.needs_status = False
                 batches.setdefault(address, []).append(entry)
         return batches
 
@@ -175,19 +177,23 @@
             self._send(address, PushReports(tuple(entries)))
 
 
-def _entry(
-    worker: str, published: _Published, interactive: int, with_facts: bool, now_s: float
+def _make_entry(
+    worker: str, published: _PublishedBackend, interactive: int, with_status: bool, now_s: float
 ) -> ReportEntry | None:
     report = published.report
     if report is None:
         return None
     age_ms = max(0, round((now_s - report.made_s) * 1000))
-    facts = published.facts if with_facts else None
-    return ReportEntry(worker, age_ms, report.load, interactive, published.facts_number, facts)
+    status = published.status if with_status else None
+    return ReportEntry(worker, age_ms, report.load, interactive, published.status_version, status)
 
 
-def _worth_telling(subscription: _Subscription, entry: ReportEntry, now_s: float) -> bool:
-    told = subscription.told
-    if told is None or entry.facts is not None or now_s - subscription.told_s >= HEARTBEAT_S:
+def _should_send(subscription: _Subscription, entry: ReportEntry, now_s: float) -> bool:
+    last_sent = subscription.last_sent
+    if (
+        last_sent is None
+        or entry.status is not None
+        or now_s - subscription.last_sent_s >= HEARTBEAT_INTERVAL_S
+    ):
         return True
-    return entry.load != told.load or bool(entry.interactive) != bool(told.interactive)
+    return entry.load != last_sent.load or bool(entry.interactive) != bool(last_sent.interactive)
--- a/src/bellweir/routing/report_subscriber.py
+++ b/src/bellweir/routing/report_subscriber.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, field
 
 from bellweir.routing.backend import Backend, BackendReport
-from bellweir.routing.messages import PushReports, ReportFacts, SubscribeReports, report_of
+from bellweir.routing.messages import BackendStatus, PushReports, SubscribeReports, report_of
 
-RENEWAL_S = 4.0
+RENEWAL_INTERVAL_S = 4.0
 """Time between two subscriptions that ask for the same; a third of their life."""
 
 SendSubscription = Callable[[str, SubscribeReports], bool]
@@ -20,16 +20,16 @@
 
 
 @dataclass
-class _Facts:
-    number: int
-    facts: ReportFacts
+class _VersionedStatus:
+    version: int
+    status: BackendStatus
 
 
 @dataclass
 class _State:
     asked: dict[str, _Asked] = field(default_factory=dict)
     """By the owner's address."""
-    facts: dict[str, _Facts] = field(default_factory=dict)
+    status: dict[str, _VersionedStatus] = field(default_factory=dict)
     fresh: set[str] = field(default_factory=set)
     """Back ends whose facts were missed: an entry came under a number not held."""
 
@@ -62,26 +62,28 @@
         for address, message in due.items():
             self._send(address, message)
 
-    def take(self, message: PushReports, now_s: float) -> list[tuple[str, BackendReport]]:
+    def apply(self, message: PushReports, now_s: float) -> list[tuple[str, BackendReport]]:
         """Turn pushed entries into reports; those without known facts are asked for again."""
         reports = []
         with self._lock:
             for entry in message.entries:
-                if entry.facts is not None:
-                    self._state.facts[entry.worker] = _Facts(entry.facts_number, entry.facts)
+                if entry.status is not None:
+                    self._state.status[entry.worker] = _VersionedStatus(
+                        entry.status_version, entry.status
+                    )
                     self._state.fresh.discard(entry.worker)
-                held = self._state.facts.get(entry.worker)
-                if held is None or held.number != entry.facts_number:
+                held = self._state.status.get(entry.worker)
+                if held is None or held.version != entry.status_version:
                     self._state.fresh.add(entry.worker)
                     continue
-                reports.append((entry.worker, report_of(entry, held.facts, now_s)))
+                reports.append((entry.worker, report_of(entry, held.status, now_s)))
         return reports
 
-    def forget_all_but(self, workers: set[str]) -> None:
+    def retain(self, workers: set[str]) -> None:
         """Free what is kept of back ends that left the subset."""
         with self._lock:
-            self._state.facts = {
-                worker: facts for worker, facts in self._state.facts.items() if worker in workers
+            self._state.status = {
+                worker: status for worker, status in self._state.status.items() if worker in workers
             }
             self._state.fresh &= workers
 
@@ -95,4 +97,4 @@
         asked = self._state.asked.get(address)
         if asked is None or asked.message != message or message.fresh:
             return True
-        return now_s - asked.at_s >= RENEWAL_S
+        return now_s - asked.at_s >= RENEWAL_INTERVAL_S
--- a/src/bellweir/routing/service.py
+++ b/src/bellweir/routing/service.py
@@ -44,13 +44,13 @@
 from bellweir.telemetry.interface import Telemetry
 from bellweir.wire.interface import Transport
 
-DRAIN_S = 5.0
+DRAIN_TIMEOUT_S = 5.0
 """Longest wait for requests that no caller waits for."""
 
-RECORDS_DRAIN_S = 2.0
+RECORDS_DRAIN_TIMEOUT_S = 2.0
 """Longest wait for outcomes that the ledger has not taken yet."""
 
-RESULTS_DRAIN_S = 2.0
+RESULTS_DRAIN_TIMEOUT_S = 2.0
 """Longest wait for the task that gathers results by arm."""
 
 _Served = TypeVar("_Served")
@@ -90,7 +90,7 @@
         self._add_metrics(views)
         self._kernel.executors.run_task("claim-outcomes", self._recorder.run)
         self._kernel.executors.run_task("stream-watch", self._watch.run)
-        self._gather_results()
+        self._start_arm_results()
 
     def drain(self, deadline_s: float) -> None:
         """Refuse new requests and wait for those in hand.
@@ -98,10 +98,10 @@
         The gateway has drained before, so that no caller waits for what is left: drafts of
         training steps, which another node makes anew.
         """
-        self._admissions.drain(min(deadline_s, DRAIN_S))
-        self._recorder.drain(min(deadline_s, RECORDS_DRAIN_S))
+        self._admissions.drain(min(deadline_s, DRAIN_TIMEOUT_S))
+        self._recorder.drain(min(deadline_s, RECORDS_DRAIN_TIMEOUT_S))
         if self._results is not None and self._results_task is not None:
-            self._results.flush(self._results_task, min(deadline_s, RESULTS_DRAIN_S))
+            self._results.flush(self._results_task, min(deadline_s, RESULTS_DRAIN_TIMEOUT_S))
 
     def stop(self) -> None:
         """Refuse new requests and cancel the streams that still run."""
@@ -116,13 +116,13 @@
 
     def generate(self, request: GenerationRequest) -> Result[Generation, Refusal]:
         """Admit a generation and start its first attempt; a refusal is final and immediate."""
-        return self._counted(self._generations.serve(request))
+        return self._record_outcome(self._generations.serve(request))
 
     def forward(self, request: ApplicationRequest) -> Result[ApplicationAnswer, Refusal]:
         """Forward to an application worker: limits, claim (class once), retries."""
-        return self._counted(self._applications.serve(request))
+        return self._record_outcome(self._applications.serve(request))
 
-    def _counted(self, outcome: Result[_Served, Refusal]) -> Result[_Served, Refusal]:
+    def _record_outcome(self, outcome: Result[_Served, Refusal]) -> Result[_Served, Refusal]:
         self._counters.count_request()
         if isinstance(outcome, Failure):
             self._counters.count_refusal(outcome.failure())
@@ -175,7 +175,7 @@
                 RoutingCollector(self.statistics, self._runtimes, views.pools)
             )
 
-    def _gather_results(self) -> None:
+    def _start_arm_results(self) -> None:
         registry = self._kernel.registry
         if not registry.has(names.MEMBERSHIP):
             return
@@ -185,14 +185,14 @@
         clock = self._kernel.clock
         reports = ArmReports(self._node, self._arms, transport, placements.current, clock)
         reports.register_handlers()
-        results = ArmResults(reports, lambda: self._find_writer(reports), clock)
+        results = ArmResults(reports, lambda: self._make_writer(reports), clock)
         started = registry.all_started
         self._results = results
         self._results_task = self._kernel.executors.run_task(
             "arm-results", lambda stopping: results.run(started, stopping)
         )
 
-    def _find_writer(self, reports: ArmReports) -> ArmStatusWriter | None:
+    def _make_writer(self, reports: ArmReports) -> ArmStatusWriter | None:
         registry = self._kernel.registry
         if not registry.has(names.RESOURCES):
             return None
--- a/src/bellweir/routing/views_service.py
+++ b/src/bellweir/routing/views_service.py
@@ -25,16 +25,16 @@
 from bellweir.routing.pool_workers import Location, PoolWorker, workers_of
 from bellweir.routing.prefix_hints import PrefixHints
 from bellweir.routing.probing import probe
-from bellweir.routing.report_publisher import HEARTBEAT_S, ReportPublisher
+from bellweir.routing.report_publisher import HEARTBEAT_INTERVAL_S, ReportPublisher
 from bellweir.routing.report_subscriber import ReportSubscriber
 from bellweir.routing.strategies import PREFIX_AWARE
 from bellweir.settings.models import Settings
 from bellweir.wire.interface import Message, Sender, Transport
 
-STALE_S = 2.0 * HEARTBEAT_S + 1.0
+MAX_REPORT_AGE_S = 2.0 * HEARTBEAT_INTERVAL_S + 1.0
 """Reports older than this are not relied on: two heartbeats in a row were missed."""
 
-OWNED_PERIOD_S = 10.0
+OWNERSHIP_REFRESH_INTERVAL_S = 10.0
 """Time after which a change of ownership changes the subsets of large pools."""
 
 
@@ -53,7 +53,7 @@
         self._workers: dict[str, PoolWorker] = {}
         self._prefix_pools: set[str] = set()
         self._snapshot = ConfigurationSnapshot(0)
-        self._owned_s = 0.0
+        self._ownership_refreshed_s = 0.0
         self._probing: set[str] = set()
         self._probing_lock = threading.Lock()
         self._wake = threading.Event()
@@ -104,7 +104,7 @@
             for worker in workers_of(pool, snapshot.machines)
         }
         routed = set(self._table.by_key())
-        self._subscriber.forget_all_but(routed)
+        self._subscriber.retain(routed)
         self.prefixes.keep_only(routed, set(self._workers))
         self._prefix_pools = {
             name
@@ -118,7 +118,7 @@
 
     def _on_reports(self, _sender: Sender, message: PushReports) -> None:
         backends = self._table.by_key()
-        for key, report in self._subscriber.take(message, self._now_s()):
+        for key, report in self._subscriber.apply(message, self._now_s()):
             backend = backends.get(key)
             if backend is not None:
                 backend.take_report(report)
@@ -136,15 +136,18 @@
 
     def _tick(self, now_s: float) -> None:
         """One round: subscribe, probe what is this node's to probe, push reports."""
-        if self._table.has_large_pools and now_s - self._owned_s >= OWNED_PERIOD_S:
-            self._owned_s = now_s
+        if (
+            self._table.has_large_pools
+            and now_s - self._ownership_refreshed_s >= OWNERSHIP_REFRESH_INTERVAL_S
+        ):
+            self._ownership_refreshed_s = now_s
             self._table.apply(self._snapshot, self._ownership.owns)
         to_probe = {key: self._workers.get(key) for key in self._publisher.workers(now_s)}
         by_owner: dict[str, list[Backend]] = {}
         for key, backend in self._table.by_key().items():
             owner = self._ownership.owner_of(backend.name)
             owned = owner.node == self._node
-            if owned or backend.wants_probe(now_s, STALE_S):
+            if owned or backend.wants_probe(now_s, MAX_REPORT_AGE_S):
                 to_probe[key] = backend.worker
             if not owned:
                 by_owner.setdefault(owner.peer_address, []).append(backend)
@@ -170,25 +173,25 @@
             backend = self._table.by_key().get(worker.key)
             match probe(worker, self._clients, self._kernel.clock):
                 case Success(report):
-                    self._take_probe(worker, backend, report)
+                    self._record_probe_success(worker, backend, report)
                 case Failure(_):
-                    self._take_failure(worker, backend)
+                    self._record_probe_failure(worker, backend)
         finally:
             self._end_probe(worker)
 
-    def _take_probe(
+    def _record_probe_success(
         self, worker: PoolWorker, backend: Backend | None, report: BackendReport
     ) -> None:
-        others = self._publisher.interactive_of(worker.key)
+        others = self._publisher.interactive_subscribers(worker.key)
         if backend is not None:
             backend.take_report(replace(report, interactive=others))
         self._publisher.publish(worker.key, report, self._now_s())
         if worker.pool in self._prefix_pools and self._ownership.owns(worker.name):
             engine = self._clients.engine(worker.address)
-            subscribers = self._publisher.subscribers_of(worker.key)
+            subscribers = self._publisher.subscribers_to(worker.key)
             self.prefixes.read(worker.key, engine, self._now_s(), subscribers)
 
-    def _take_failure(self, worker: PoolWorker, backend: Backend | None) -> None:
+    def _record_probe_failure(self, worker: PoolWorker, backend: Backend | None) -> None:
         now_s = self._now_s()
         if backend is not None:
             backend.mark_unreachable(now_s)
