--- a/src/bellweir/routing/__init__.py
+++ b/src/bellweir/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Choice of back end, limits, priorities, retries and circuit breaking."""
+"""Request routing: back-end selection, concurrency limits, retries and circuit breaking."""
--- a/src/bellweir/routing/arm_counters.py
+++ b/src/bellweir/routing/arm_counters.py
@@ -1,4 +1,4 @@
-"""Results by arm of comparisons, as this node has served them."""
+"""Counters of generations served by this node, by comparison arm."""
 
 import threading
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class ArmKey:
-    """An arm of a comparison."""
+    """Identifies an arm of a comparison."""
 
     comparison: str
     arm: str
@@ -27,26 +27,26 @@
 
 
 class ArmCounters:
-    """Counts since the start of the node; thread-safe."""
+    """Counters since the node started; thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._by_arm: dict[ArmKey, _Counts] = {}
 
     def record_start(self, arm: ArmKey) -> None:
-        """Count a generation that was admitted."""
+        """Count an admitted generation."""
         with self._lock:
             self._by_arm.setdefault(arm, _Counts()).started += 1
 
     def record_first_token(self, arm: ArmKey, latency_s: float) -> None:
-        """Take the time to a first token."""
+        """Add a time to first token, in seconds."""
         with self._lock:
             counts = self._by_arm.setdefault(arm, _Counts())
             counts.first_token_s += latency_s
             counts.first_tokens += 1
 
     def record_end(self, arm: ArmKey, outcome: str, tokens: int, took_s: float) -> None:
-        """Count the end of a generation."""
+        """Count a finished generation and its tokens and duration."""
         with self._lock:
             counts = self._by_arm.setdefault(arm, _Counts())
             counts.tokens += tokens
@@ -57,7 +57,7 @@
                 counts.failed += 1
 
     def read(self) -> tuple[ArmStatistics, ...]:
-        """The counts as they stand."""
+        """Return a snapshot of the counters."""
         with self._lock:
             return tuple(
                 ArmStatistics(
--- a/src/bellweir/routing/arm_counts.py
+++ b/src/bellweir/routing/arm_counts.py
@@ -1,4 +1,4 @@
-"""Counts of one arm that travel between nodes, and their sums."""
+"""Per-arm counts exchanged between nodes, and sums of them."""
 
 from collections.abc import Iterable
 
@@ -10,7 +10,7 @@
 
 
 class ArmCounts(msgspec.Struct, frozen=True, array_like=True):
-    """What was counted of one arm; a part of a sum, or a sum."""
+    """Counts of one arm: an increment or a total."""
 
     comparison: str
     arm: str
@@ -20,22 +20,22 @@
     tokens: int = 0
     first_tokens: int = 0
     first_token_s: float = 0.0
-    """Sum of times to the first token, in seconds, over `first_tokens` generations."""
+    """Sum of times to first token, in seconds, over `first_tokens` generations."""
     whole_s: float = 0.0
-    """Sum of times of completed generations, in seconds."""
+    """Sum of durations of completed generations, in seconds."""
 
     @property
     def key(self) -> ArmKey:
-        """The arm these counts are of."""
+        """The comparison and arm of these counts."""
         return ArmKey(self.comparison, self.arm)
 
     @property
     def is_zero(self) -> bool:
-        """Whether nothing was counted."""
+        """Whether no generation was counted."""
         return not (self.started or self.completed or self.failed or self.first_tokens)
 
     def plus(self, other: "ArmCounts", sign: int = 1) -> "ArmCounts":
-        """The sum, or with `sign` -1 the difference."""
+        """Return the sum, or the difference if `sign` is -1."""
         return ArmCounts(
             self.comparison,
             self.arm,
@@ -50,36 +50,36 @@
 
 
 class ArmReport(Message, frozen=True):
-    """Request, towards the reporter: what was counted since the report before."""
+    """Request carrying the counts accumulated since the sender's previous report."""
 
     node: str
     incarnation: int
-    """Random for each start of the sender's process."""
+    """Random number chosen at each start of the sender."""
     sequence: int
-    """Rises by one with each report; a repeated one is the same report sent again."""
+    """Incremented with each report; a retransmission keeps its number."""
     counts: tuple[ArmCounts, ...]
 
 
 class ArmReportAnswer(Message, frozen=True):
-    """Answer to a report."""
+    """Acknowledges or rejects a report."""
 
     taken: bool
-    """False from a node that is stopping: the sender keeps its counts."""
+    """False if the receiver is stopping; the sender then keeps the counts."""
 
 
 class ArmSums:
-    """Sums by arm; not thread-safe."""
+    """Totals by arm; not thread-safe."""
 
     def __init__(self) -> None:
         self._by_arm: dict[ArmKey, ArmCounts] = {}
 
     def add(self, counts: Iterable[ArmCounts]) -> None:
-        """Add counts to the sums of their arms."""
+        """Add counts to the totals of their arms."""
         for each in counts:
             self._by_arm[each.key] = self._sum_of(each.key).plus(each)
 
     def subtract(self, counts: Iterable[ArmCounts]) -> None:
-        """Take counts away that have been added before."""
+        """Subtract counts that were added before."""
         for each in counts:
             rest = self._sum_of(each.key).plus(each, -1)
             self._by_arm[each.key] = rest
@@ -87,17 +87,17 @@
                 del self._by_arm[each.key]
 
     def pop_all(self) -> tuple[ArmCounts, ...]:
-        """The sums; nothing is left."""
+        """Remove and return all totals."""
         taken = tuple(self._by_arm.values())
         self._by_arm = {}
         return taken
 
     def comparisons(self) -> set[str]:
-        """Comparisons of which there are sums."""
+        """Names of the comparisons that have totals."""
         return {key.comparison for key in self._by_arm}
 
     def for_comparison(self, comparison: str) -> tuple[ArmCounts, ...]:
-        """Sums of one comparison's arms."""
+        """Totals of one comparison's arms."""
         return tuple(sums for sums in self._by_arm.values() if sums.comparison == comparison)
 
     def _sum_of(self, key: ArmKey) -> ArmCounts:
@@ -105,7 +105,7 @@
 
 
 def to_counts(statistics: ArmStatistics) -> ArmCounts:
-    """A node's statistics of an arm, as counts."""
+    """Convert a node's statistics of an arm to counts."""
     return ArmCounts(
         statistics.comparison,
         statistics.arm,
--- a/src/bellweir/routing/arm_reports.py
+++ b/src/bellweir/routing/arm_reports.py
@@ -1,8 +1,7 @@
-"""Gathering of results by arm: each node passes what it counted on towards the reporter.
+"""Aggregates per-arm counts: nodes report to their zone's reader, readers to the reporter.
 
-Reports carry differences, so that each count is held by one node at a time: first by the one
-that counted it, then by its zone's reader, then by the reporter, then by the status. Any node
-takes a report and passes it on, also one that is reader or reporter by the sender's view only.
+Reports carry increments, so each count is held by exactly one node until it is in the status. Any
+node accepts and forwards reports, since nodes may disagree on who is reader or reporter.
 """
 
 import random
@@ -26,15 +25,14 @@
 from bellweir.wire.interface import Sender, Transport, WireErrorKind
 
 REPORT_INTERVAL_S = 2.0
-"""Least time between two reports of a node, in seconds; none is sent when nothing changed."""
 REPORT_TIMEOUT_S = 1.0
 MAX_TRACKED_SENDERS = 4096
-"""Senders whose last report is remembered."""
+"""Limit on senders remembered for deduplication."""
 
 
 @dataclass
 class _InFlight:
-    """A report that the next node has not said to have taken."""
+    """A report that has not been acknowledged."""
 
     target: str
     sequence: int
@@ -43,9 +41,9 @@
 
 
 class ArmReports:
-    """Counts that this node holds, and where they go; thread-safe.
+    """Collects pending counts and forwards them to the next hop; thread-safe.
 
-    `send_if_due` and `send_now` are for one thread at a time.
+    `collect`, `send_if_due` and `send_now` must not be called concurrently.
     """
 
     def __init__(
@@ -65,9 +63,9 @@
         self._lock = threading.Lock()
         self._pending = ArmSums()
         self._collected: dict[ArmKey, ArmCounts] = {}
-        """Own counters as far as they have been added to what is held."""
+        """Values of the local counters already added to the pending counts."""
         self._last_accepted: dict[str, tuple[int, int]] = {}
-        """Incarnation and number of each sender's last report."""
+        """Incarnation and sequence number of each sender's last report."""
         self._is_closed = False
         self._in_flight: _InFlight | None = None
         self._sequence = 0
@@ -78,12 +76,12 @@
         self._transport.register(ArmReport, self._on_report)
 
     def close(self) -> None:
-        """Take no more reports; what is held can still be passed on."""
+        """Reject further reports; pending counts can still be sent."""
         with self._lock:
             self._is_closed = True
 
     def collect(self) -> None:
-        """Add what this node has counted since the last time to what is held."""
+        """Add the local counters' increments since the last call to the pending counts."""
         for statistics in self._counters.read():
             counts = to_counts(statistics)
             before = self._collected.get(counts.key)
@@ -93,7 +91,7 @@
                 self.add((change,))
 
     def next_hop(self) -> Member | None:
-        """Where counts go from here; None on the reporter itself."""
+        """The node to send counts to; None if this node is the reporter or there is none."""
         placement = self._placement()
         reporter = placement.reporter
         if reporter is None or placement.is_reporter:
@@ -103,12 +101,12 @@
         return placement.reader
 
     def send_if_due(self) -> None:
-        """Pass on what is held, when a report is due."""
+        """Send pending counts if the report interval has elapsed."""
         if self._clock.monotonic_s() >= self._next_send_s:
             self.send_now()
 
     def send_now(self) -> None:
-        """Pass on what is held, unless this node is the reporter."""
+        """Send pending counts to the next hop, if there is one."""
         target = self.next_hop()
         self._resolve_target_change(None if target is None else target.peer_address)
         if target is None:
@@ -119,12 +117,12 @@
             self._send(report)
 
     def _resolve_target_change(self, target: str | None) -> None:
-        """Decide about a report whose receiver is not the one to report to any more."""
+        """Handle an unacknowledged report to a node that is no longer the next hop."""
         report = self._in_flight
         if report is None or report.target == target:
             return
         self._in_flight = None
-        # Sent again to another node, it might be counted twice: what may be taken is let go.
+        # The old receiver may have counted it; sending it to another node could count it twice.
         if not report.may_be_accepted:
             self.add(report.counts)
 
@@ -151,36 +149,36 @@
                 return ArmReportAnswer(taken=False)
             number = (report.incarnation, report.sequence)
             incarnation, sequence = self._last_accepted.get(report.node, (0, 0))
-            # A report sent twice may also come late, after the next one.
+            # A duplicate may also arrive after the next report.
             if incarnation != report.incarnation or sequence < report.sequence:
                 self._pending.add(report.counts)
             else:
                 number = (incarnation, sequence)
-            # The newest sender is the last one, so that the one forgotten is long silent.
+            # Move the sender to the end, so that the least recently active one is evicted.
             self._last_accepted.pop(report.node, None)
             self._last_accepted[report.node] = number
             if len(self._last_accepted) > MAX_TRACKED_SENDERS:
                 del self._last_accepted[next(iter(self._last_accepted))]
         return ArmReportAnswer(taken=True)
 
-    # --- for the writer of the status ----------------------------------------------------------
+    # --- used by the status writer -------------------------------------------------------------
 
     def comparisons(self) -> set[str]:
-        """Comparisons of which this node holds counts."""
+        """Names of comparisons with pending counts."""
         with self._lock:
             return self._pending.comparisons()
 
     def counts_for(self, comparison: str) -> tuple[ArmCounts, ...]:
-        """What this node holds of a comparison."""
+        """Pending counts of a comparison."""
         with self._lock:
             return self._pending.for_comparison(comparison)
 
     def add(self, counts: Iterable[ArmCounts]) -> None:
-        """Hold these counts too."""
+        """Add to the pending counts."""
         with self._lock:
             self._pending.add(counts)
 
     def remove(self, counts: Iterable[ArmCounts]) -> None:
-        """Hold these counts no more: they are in the status, or their comparison is gone."""
+        """Subtract counts that are in the status or whose comparison was deleted."""
         with self._lock:
             self._pending.subtract(counts)
--- a/src/bellweir/routing/arm_results.py
+++ b/src/bellweir/routing/arm_results.py
@@ -1,4 +1,4 @@
-"""The node's task for results by arm: collect, pass on, and write where it is the reporter."""
+"""Background task that collects per-arm results and forwards them or writes the status."""
 
 import threading
 from collections.abc import Callable
@@ -9,11 +9,10 @@
 from bellweir.routing.arm_status import ArmStatusWriter
 
 POLL_INTERVAL_S = 0.5
-"""Time between two looks at what is due, in seconds."""
 
 
 class ArmResults:
-    """Runs as one task; `flush` ends it and passes on what is left."""
+    """Runs as one task; `flush` ends it and sends or writes pending counts."""
 
     def __init__(
         self, reports: ArmReports, writer: Callable[[], ArmStatusWriter | None], clock: Clock
@@ -25,14 +24,14 @@
         self._writer: ArmStatusWriter | None = None
 
     def run(self, all_started: threading.Event, stopping: threading.Event) -> None:
-        """Look now and then until the executors stop or the node drains."""
+        """Run rounds until the executors stop or the node drains."""
         while not (stopping.is_set() or self._ending.is_set()):
             if all_started.is_set():
                 self.run_once()
             self._clock.wait(self._ending, POLL_INTERVAL_S)
 
     def run_once(self) -> None:
-        """One round of collecting, passing on and writing."""
+        """Collect counts, then write them on the reporter or forward them elsewhere."""
         self._reports.collect()
         writer = self._current_writer()
         if writer is None:
@@ -45,11 +44,11 @@
             self._reports.send_if_due()
 
     def end(self) -> None:
-        """End the task soon."""
+        """Signal the task to end."""
         self._ending.set()
 
     def flush(self, task: "Future[None]", timeout_s: float) -> None:
-        """End the task, then pass on what is held, or write it where no other node is left."""
+        """End the task, then forward pending counts, or write them if there is no next hop."""
         self.end()
         if wait((task,), timeout=timeout_s).not_done:
             return
@@ -63,7 +62,7 @@
             writer.write_now()
             return
         writer.hand_over()
-        # One report may be in flight from before; what was counted since follows it.
+        # The first call may only retransmit a report in flight; the second sends newer counts.
         for _ in range(2):
             self._reports.send_now()
 
--- a/src/bellweir/routing/arm_status.py
+++ b/src/bellweir/routing/arm_status.py
@@ -1,7 +1,7 @@
-"""Writing of results by arm into the status of comparisons, on the reporter.
+"""Writes per-arm results to the status of comparisons, on the reporter.
 
-Each write is the status in force plus what this node holds. A write whose outcome is unknown is
-told by its mark: once the status in force bears it, its counts are in the status.
+Each write adds pending counts to the current status. After a write with unknown outcome, its ID in
+the current status shows that its counts were stored.
 """
 
 import uuid
@@ -20,19 +20,19 @@
 
 KIND = "Comparison"
 RESULTS_KEY = "results"
-"""Key of the results in the status' details."""
+"""Key in the details of the status."""
 FIRST_WRITE_DELAY_S = 2.0
-"""Time from the first counts held to their write, so that the nodes' reports come together."""
+"""Delay of a comparison's first write, to batch the reports of several nodes."""
 WRITE_INTERVAL_S = 10.0
-"""Least time between two writes of one comparison, in seconds: at most 8,640 a day."""
+"""Minimum time between writes of one comparison."""
 CONFLICT_BACKOFF_S = 1.0
-"""Time until the version that was in the way is in force here, in seconds."""
+"""Allows the conflicting version to become visible here."""
 _DECIMALS = 6
 
 
 @dataclass(frozen=True)
 class _StatusUpdate:
-    """Counts that a write adds to the status."""
+    """Counts that one write adds to the status."""
 
     write_id: str
     counts: tuple[ArmCounts, ...]
@@ -40,17 +40,17 @@
 
 @dataclass
 class _WriteState:
-    """What this node knows of its writes of one comparison."""
+    """State of this node's writes to one comparison."""
 
     next_write_s: float
     version: int = 0
-    """Revision of the last write that succeeded."""
+    """Resource version of the last successful write."""
     unconfirmed: _StatusUpdate | None = None
-    """What a write of unknown outcome may have added; nothing else is added before it is known."""
+    """Update with unknown outcome; no other update is written until it is resolved."""
 
 
 class ArmStatusWriter:
-    """Writes what the node holds while it is the reporter; for one thread at a time."""
+    """Writes pending counts while this node is the reporter; not thread-safe."""
 
     def __init__(self, node: str, reports: ArmReports, resources: Resources, clock: Clock) -> None:
         self._node = node
@@ -60,7 +60,7 @@
         self._states: dict[str, _WriteState] = {}
 
     def write_due(self) -> None:
-        """Write the comparisons that are due."""
+        """Write comparisons whose write interval has elapsed."""
         held = self._reports.comparisons()
         now_s = self._clock.monotonic_s()
         for name in sorted(held):
@@ -72,21 +72,21 @@
                 self._discard_state(name, self._states[name])
 
     def write_now(self) -> None:
-        """Write everything, due or not: the node is stopping."""
+        """Write all comparisons at once, because the node is stopping."""
         for name in sorted(self._reports.comparisons()):
             self._write(name, self._states.setdefault(name, _WriteState(0.0)))
 
     def hand_over(self) -> None:
-        """Let go what writes of unknown outcome may have added: another node reports now."""
+        """Drop updates that are still unconfirmed, because another node is the reporter now."""
         for name, state in self._states.items():
             self._check_unconfirmed(name, state)
             if state.unconfirmed is not None:
-                # Passed on, it might be counted twice.
+                # The write may have succeeded; forwarding the counts could count them twice.
                 self._reports.remove(state.unconfirmed.counts)
         self._states = {}
 
     def _discard_state(self, name: str, state: _WriteState) -> None:
-        """Keep nothing of a comparison whose last write is in force, or that is gone."""
+        """Discard the state of a comparison that was deleted or whose last write is visible."""
         match self._resources.get(KIND, name):
             case Success(document) if document.version < state.version:
                 return
@@ -122,7 +122,7 @@
             return
         arms = _add_to_arms(results, update.counts)
         status = {"details": {RESULTS_KEY: {"mark": update.write_id, "arms": arms}}}
-        # By version: another node that takes itself for the reporter may write at the same time.
+        # Conditional on the version: another node may also believe that it is the reporter.
         match self._resources.report_status(KIND, name, status, version=document.version):
             case Success(stored):
                 self._reports.remove(update.counts)
@@ -140,7 +140,7 @@
 
 
 def read_results(document: ResourceDocument) -> Mapping[str, Any]:
-    """The results in a comparison's status; empty before the first write."""
+    """Results in a comparison's status; empty before the first write."""
     details = document.document.get("status", {}).get("details", {})
     results: Mapping[str, Any] = details.get(RESULTS_KEY, {})
     return results
--- a/src/bellweir/routing/messages.py
+++ b/src/bellweir/routing/messages.py
@@ -1,4 +1,4 @@
-"""Messages between nodes on back ends: subscriptions to an owner's reports, and the reports."""
+"""Messages between nodes about back ends: subscriptions, reports and prefix hints."""
 
 import msgspec
 
@@ -7,7 +7,7 @@
 
 
 class BackendStatus(msgspec.Struct, frozen=True, array_like=True):
-    """What rarely changes of a back end; sent when it has changed and when asked for."""
+    """Rarely changing part of a report; sent on change and on request."""
 
     ready: bool
     leaving: bool
@@ -23,47 +23,47 @@
     worker: str
     """`pool/worker`."""
     age_ms: int
-    """Milliseconds since the owner's probe began."""
+    """Milliseconds since the owner started the probe."""
     load: int
     interactive: int
-    """Subscribers that have requests on it which callers wait for."""
+    """Number of nodes with interactive requests on the back end."""
     status_version: int
-    """Changes with the facts; an owner counts from a random start."""
+    """Incremented with each status change; starts at a random value on each owner."""
     status: BackendStatus | None = None
-    """None when they were sent before under the same number."""
+    """None if this version has already been sent."""
 
 
 class SubscribeReports(Message, frozen=True):
-    """Ask the owner of some back ends for reports; lapses unless it is sent again."""
+    """Subscribes to an owner's reports on some back ends; expires unless renewed."""
 
     workers: tuple[str, ...]
     interactive: tuple[str, ...]
-    """Those of the workers that have requests of this node which callers wait for."""
+    """Workers on which the subscriber has interactive requests."""
     fresh: tuple[str, ...]
-    """Those of which the facts are wanted again."""
+    """Workers whose status must be sent again."""
 
 
 class PushReports(Message, frozen=True):
-    """Reports that a subscriber has asked for."""
+    """A batch of reports for one subscriber."""
 
     entries: tuple[ReportEntry, ...]
 
 
 class PushPrefixes(Message, frozen=True):
-    """Hints of prompt blocks that an engine has stored or evicted since the last hint.
+    """Prompt blocks that an engine has cached or evicted since the last hint.
 
-    Blocks are packed, 4 bytes each, in the byte order of the machines (little-endian).
+    Blocks are packed as 4-byte little-endian integers.
     """
 
     worker: str
     reset: bool
-    """Whether earlier hints are void."""
+    """Whether to discard all earlier hints of this worker."""
     added: bytes
     removed: bytes
 
 
 def status_of(report: BackendReport) -> BackendStatus:
-    """The facts in a report."""
+    """Extract the status from a report."""
     return BackendStatus(
         report.ready,
         report.leaving,
@@ -75,7 +75,7 @@
 
 
 def report_of(entry: ReportEntry, status: BackendStatus, now_s: float) -> BackendReport:
-    """The report that an entry stands for, on this node's clock."""
+    """Convert an entry to a report timed on the local monotonic clock."""
     return BackendReport(
         ready=status.ready,
         leaving=status.leaving,
--- a/src/bellweir/routing/metrics.py
+++ b/src/bellweir/routing/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of routing in Prometheus form, read when they are asked for."""
+"""Prometheus collector for routing metrics."""
 
 from collections.abc import Callable, Iterable, Mapping
 
@@ -11,7 +11,7 @@
 
 
 class RoutingCollector(Collector):
-    """Turns the dispatcher's state into metrics."""
+    """Builds metrics from the dispatcher's state on each scrape."""
 
     def __init__(
         self,
@@ -24,7 +24,7 @@
         self._pools = pools
 
     def collect(self) -> Iterable[Metric]:
-        """All metrics as of now."""
+        """Yield all metric families."""
         statistics = self._statistics()
         yield CounterMetricFamily(
             "bellweir_dispatch_requests", "Requests asked for.", value=statistics.requests
--- a/src/bellweir/routing/report_publisher.py
+++ b/src/bellweir/routing/report_publisher.py
@@ -1,4 +1,4 @@
-"""Owner's side of reports: who has asked for which back end, and what each was told last."""
+"""Owner's side of reports: tracks subscriptions and the last entry sent to each subscriber."""
 
 import random
 import threading
@@ -15,17 +15,16 @@
 )
 
 SUBSCRIPTION_TTL_S = 12.0
-"""A subscription that is not renewed ends after this time."""
 HEARTBEAT_INTERVAL_S = 2.0
-"""A report that has not changed is sent again after this time, so that it does not grow stale."""
+"""Unchanged reports are sent again this often, so that subscribers do not treat them as stale."""
 ENTRY_BYTES = 80
-"""About the bytes of one report in a message of its own; measured by bench/routing_reports.py."""
+"""Approximate size of a message with one report; see bench/routing_reports.py."""
 PUSH_BYTES_PER_S = 2048
-"""Bound of what an owner sends, by sending less often; urgent changes are not held back."""
+"""Bandwidth limit for periodic pushes; status changes are sent at once."""
 MAX_PUSH_INTERVAL_S = 2.0
-"""Reports must not grow stale, so that beyond about 50 pairs the bytes grow with the pairs."""
+"""Takes precedence over the bandwidth limit, to keep reports from becoming stale."""
 MAX_SUBSCRIPTIONS = 4096
-"""Pairs of subscriber and back end that one owner serves."""
+"""Limit on (subscriber, back end) pairs."""
 
 SendReports = Callable[[str, PushReports], bool]
 
@@ -47,12 +46,12 @@
     subscribers: dict[str, _Subscription] = field(default_factory=dict)
 
     def interactive(self) -> int:
-        """Subscribers with requests that callers wait for."""
+        """Number of subscribers with interactive requests on the back end."""
         return sum(found.interactive for found in self.subscribers.values())
 
 
 class ReportPublisher:
-    """Thread-safe; sends outside its lock."""
+    """Publishes reports to subscribers; thread-safe, sends outside its lock."""
 
     def __init__(
         self,
@@ -62,7 +61,7 @@
     ) -> None:
         self._send = send
         self._is_used_locally = is_used_locally
-        """Whether this node itself uses a back end for callers."""
+        """Whether this node has interactive requests on a back end."""
         self._report_period_s = report_period_s
         self._lock = threading.Lock()
         self._published: dict[str, _PublishedBackend] = {}
@@ -70,13 +69,13 @@
         self._next_push_s = 0.0
 
     def workers(self, now_s: float) -> list[str]:
-        """Back ends that somebody wants reports of, as `pool/worker`."""
+        """Back ends with at least one subscriber, as `pool/worker`."""
         with self._lock:
             self._drop_expired(now_s)
             return list(self._published)
 
     def subscribe(self, address: str, message: SubscribeReports, now_s: float) -> None:
-        """Begin or renew the subscriptions of the node at `address`."""
+        """Create or renew the subscriptions of the node at `address`."""
         interactive, fresh = set(message.interactive), set(message.fresh)
         with self._lock:
             for worker in message.workers:
@@ -88,7 +87,7 @@
                 subscription.needs_status = subscription.needs_status or worker in fresh
 
     def interactive_subscribers(self, worker: str) -> int:
-        """Subscribers with requests on a back end that callers wait for."""
+        """Number of subscribers with interactive requests on a back end."""
         with self._lock:
             published = self._published.get(worker)
             if published is None:
@@ -96,13 +95,13 @@
             return published.interactive()
 
     def subscribers_to(self, worker: str) -> list[str]:
-        """Addresses of the nodes that want reports of a back end."""
+        """Addresses of a back end's subscribers."""
         with self._lock:
             published = self._published.get(worker)
             return list(published.subscribers) if published is not None else []
 
     def publish(self, worker: str, report: BackendReport, now_s: float) -> None:
-        """Take a probe's report; changed facts are sent at once, load at the next push."""
+        """Store a probe's report; status changes are sent at once, load with the next push."""
         status = status_of(report)
         with self._lock:
             published = self._published.get(worker)
@@ -119,7 +118,7 @@
         self._send_all(batches)
 
     def push(self, now_s: float) -> None:
-        """Send what has changed, if it is time to within the bound of bytes."""
+        """Send changed reports if the push interval has elapsed."""
         with self._lock:
             if now_s < self._next_push_s:
                 return
@@ -128,7 +127,7 @@
         self._send_all(batches)
 
     def push_interval_s(self) -> float:
-        """Time between two pushes: longer the more pairs there are, so that bytes are bounded."""
+        """Push interval; grows with the number of subscriptions to limit bandwidth."""
         bounded_s = min(MAX_PUSH_INTERVAL_S, self._pairs * ENTRY_BYTES / PUSH_BYTES_PER_S)
         return max(self._report_period_s, bounded_s)
 
@@ -153,7 +152,7 @@
                 del self._published[worker]
 
     def _collect(self, workers: list[str], now_s: float) -> dict[str, list[ReportEntry]]:
-        """What each subscriber has to be told; noted as told."""
+        """Entries to send, by subscriber address; marks them as sent."""
         batches: dict[str, list[ReportEntry]] = {}
         for worker in workers:
             published = self._published[worker]
--- a/src/bellweir/routing/report_subscriber.py
+++ b/src/bellweir/routing/report_subscriber.py
@@ -1,4 +1,4 @@
-"""Subscriber's side of reports: which owner is asked for which back end of the subset."""
+"""Subscriber's side of reports: renews subscriptions and decodes pushed entries."""
 
 import threading
 from collections.abc import Callable
@@ -8,7 +8,7 @@
 from bellweir.routing.messages import BackendStatus, PushReports, SubscribeReports, report_of
 
 RENEWAL_INTERVAL_S = 4.0
-"""Time between two subscriptions that ask for the same; a third of their life."""
+"""A third of the subscription TTL, so that one lost renewal does not end it."""
 
 SendSubscription = Callable[[str, SubscribeReports], bool]
 
@@ -28,14 +28,14 @@
 @dataclass
 class _State:
     asked: dict[str, _Asked] = field(default_factory=dict)
-    """By the owner's address."""
+    """By owner address."""
     status: dict[str, _VersionedStatus] = field(default_factory=dict)
     fresh: set[str] = field(default_factory=set)
-    """Back ends whose facts were missed: an entry came under a number not held."""
+    """Back ends whose current status version was not received."""
 
 
 class ReportSubscriber:
-    """Thread-safe; sends outside its lock."""
+    """Subscribes to owners' reports; thread-safe, sends outside its lock."""
 
     def __init__(self, send: SendSubscription) -> None:
         self._send = send
@@ -43,7 +43,7 @@
         self._state = _State()
 
     def renew(self, by_owner: dict[str, list[Backend]], now_s: float) -> None:
-        """Subscribe anew where the subset, its use or its owners changed, and now and then."""
+        """Send subscriptions that changed or are due for renewal."""
         with self._lock:
             wanted = {
                 address: self._message(backends, now_s) for address, backends in by_owner.items()
@@ -63,7 +63,7 @@
             self._send(address, message)
 
     def apply(self, message: PushReports, now_s: float) -> list[tuple[str, BackendReport]]:
-        """Turn pushed entries into reports; those without known facts are asked for again."""
+        """Convert pushed entries to reports; request the status again where it is unknown."""
         reports = []
         with self._lock:
             for entry in message.entries:
@@ -80,7 +80,7 @@
         return reports
 
     def retain(self, workers: set[str]) -> None:
-        """Free what is kept of back ends that left the subset."""
+        """Discard the state of all other back ends."""
         with self._lock:
             self._state.status = {
                 worker: status for worker, status in self._state.status.items() if worker in workers
--- a/src/bellweir/routing/service.py
+++ b/src/bellweir/routing/service.py
@@ -1,4 +1,4 @@
-"""Service `dispatcher`: admits requests and serves them on back ends."""
+"""Service `dispatcher`: admits requests and dispatches them to back ends."""
 
 from concurrent.futures import Future
 from dataclasses import replace
@@ -45,19 +45,16 @@
 from bellweir.wire.interface import Transport
 
 DRAIN_TIMEOUT_S = 5.0
-"""Longest wait for requests that no caller waits for."""
 
 RECORDS_DRAIN_TIMEOUT_S = 2.0
-"""Longest wait for outcomes that the ledger has not taken yet."""
 
 RESULTS_DRAIN_TIMEOUT_S = 2.0
-"""Longest wait for the task that gathers results by arm."""
 
 _Served = TypeVar("_Served")
 
 
 class DispatcherService(Service, Dispatcher):
-    """Puts the parts of routing together; counts requests and refusals."""
+    """Wires the components of routing; counts requests and refusals."""
 
     name = names.DISPATCHER
     dependencies = (names.PLATFORM, names.CONFIGURATION, names.BACKEND_VIEWS)
@@ -79,7 +76,7 @@
         self._results_task: Future[None] | None = None
 
     def start(self) -> None:
-        """Find the other services and begin to watch streams and record outcomes."""
+        """Look up dependencies and start the background tasks."""
         registry = self._kernel.registry
         clients = registry.find(names.PLATFORM, PlatformClients)  # type: ignore[type-abstract]
         configuration = registry.find(names.CONFIGURATION, Configuration)  # type: ignore[type-abstract]
@@ -93,10 +90,10 @@
         self._start_arm_results()
 
     def drain(self, deadline_s: float) -> None:
-        """Refuse new requests and wait for those in hand.
+        """Refuse new requests and wait for those in flight.
 
-        The gateway has drained before, so that no caller waits for what is left: drafts of
-        training steps, which another node makes anew.
+        The gateway has already drained, so only drafts of training steps can be left; another
+        node recomputes them.
         """
         self._admissions.drain(min(deadline_s, DRAIN_TIMEOUT_S))
         self._recorder.drain(min(deadline_s, RECORDS_DRAIN_TIMEOUT_S))
@@ -104,22 +101,22 @@
             self._results.flush(self._results_task, min(deadline_s, RESULTS_DRAIN_TIMEOUT_S))
 
     def stop(self) -> None:
-        """Refuse new requests and cancel the streams that still run."""
+        """Refuse new requests and cancel running streams."""
         self._admissions.draining = True
         if self._results is not None:
             self._results.end()
         self._watch.cancel_all()
 
     def statistics(self) -> DispatchStatistics:
-        """Counters since the start."""
+        """Counters since the node started."""
         return replace(self._counters.read(), by_arm=self._arms.read())
 
     def generate(self, request: GenerationRequest) -> Result[Generation, Refusal]:
-        """Admit a generation and start its first attempt; a refusal is final and immediate."""
+        """Admit a generation and start its first attempt; a refusal is immediate and final."""
         return self._record_outcome(self._generations.serve(request))
 
     def forward(self, request: ApplicationRequest) -> Result[ApplicationAnswer, Refusal]:
-        """Forward to an application worker: limits, claim (class once), retries."""
+        """Forward to an application worker, with limits, retries and claims (class `once`)."""
         return self._record_outcome(self._applications.serve(request))
 
     def _record_outcome(self, outcome: Result[_Served, Refusal]) -> Result[_Served, Refusal]:
--- a/src/bellweir/routing/views_service.py
+++ b/src/bellweir/routing/views_service.py
@@ -1,8 +1,7 @@
-"""Service `backend_views`: keeps the node's picture of the back ends it routes over.
+"""Service `backend_views`: tracks the state of the back ends this node routes to.
 
-Each back end is probed by its owner, which pushes reports to the nodes that have asked for them.
-A node probes a back end of its subset itself while it has no report, the newest one is old, or
-somebody could not reach the back end.
+Each back end is probed by its owner, which pushes reports to subscribed nodes. A node probes a
+back end itself if it has no recent report or if the back end was reported unreachable.
 """
 
 import threading
@@ -32,14 +31,14 @@
 from bellweir.wire.interface import Message, Sender, Transport
 
 MAX_REPORT_AGE_S = 2.0 * HEARTBEAT_INTERVAL_S + 1.0
-"""Reports older than this are not relied on: two heartbeats in a row were missed."""
+"""Allows for two consecutive missed heartbeats."""
 
 OWNERSHIP_REFRESH_INTERVAL_S = 10.0
-"""Time after which a change of ownership changes the subsets of large pools."""
+"""How often the subsets of large pools are recomputed from ownership."""
 
 
 class BackendViewsService(Service, BackendViews):
-    """Probes, asks for and takes reports, and answers what is known of back ends."""
+    """Probes back ends, exchanges reports with peers and serves the resulting views."""
 
     name = names.BACKEND_VIEWS
     dependencies = (names.PLATFORM, names.CONFIGURATION, names.OWNERSHIP, names.TRANSPORT)
@@ -65,7 +64,7 @@
         self.prefixes = PrefixHints(self._send, settings.routing.report_period_s)
 
     def start(self) -> None:
-        """Follow the configuration, serve reports and begin to probe."""
+        """Register handlers, subscribe to the configuration and start probing."""
         registry = self._kernel.registry
         self._clients = registry.find(names.PLATFORM, PlatformClients)  # type: ignore[type-abstract]
         self._ownership = registry.find(names.OWNERSHIP, Ownership)  # type: ignore[type-abstract]
@@ -78,11 +77,11 @@
         self._kernel.executors.run_task("backend-probes", self._run)
 
     def stop(self) -> None:
-        """End the probing task soon; the kernel waits for it."""
+        """Wake the probing task so that it ends; the kernel waits for it."""
         self._wake.set()
 
     def views(self, pool: str) -> tuple[BackendView, ...]:
-        """The subset of one pool; empty when the pool is unknown."""
+        """Back ends of one pool in this node's subset; empty if the pool is unknown."""
         found = self._table.pools().get(pool)
         if found is None:
             return ()
@@ -90,7 +89,7 @@
         return tuple(backend.view(now_s) for backend in found.backends)
 
     def pools(self) -> dict[str, PoolBackends]:
-        """All pools with their back ends, for the dispatcher; not to be modified."""
+        """All pools with their back ends; callers must not modify the result."""
         return self._table.pools()
 
     # --- events -------------------------------------------------------------------------------
@@ -135,7 +134,7 @@
             self._wake.wait(self._settings.report_period_s)
 
     def _tick(self, now_s: float) -> None:
-        """One round: subscribe, probe what is this node's to probe, push reports."""
+        """Renew subscriptions, start due probes and push reports."""
         if (
             self._table.has_large_pools
             and now_s - self._ownership_refreshed_s >= OWNERSHIP_REFRESH_INTERVAL_S
@@ -158,7 +157,7 @@
         self._publisher.push(now_s)
 
     def _start_probe(self, worker: PoolWorker) -> None:
-        """Probe off this thread, so that a hung back end delays no other one's probe."""
+        """Probe on an executor thread, so that a hung back end does not delay other probes."""
         with self._probing_lock:
             if worker.key in self._probing:
                 return
