--- a/features/steps/routing_reports_steps.py
+++ b/features/steps/routing_reports_steps.py
@@ -36,19 +36,20 @@
 )
 
 
-@given("routing nodes 0 to 3 over 4 application workers that node 0 to 3 own in turn")
+@given("4 routing nodes and 4 application workers, where node N owns worker app-N")
 def step_nodes(context):
     clock = OffsetClock()
     cluster = RoutingCluster(context.cleanup, clock=clock, make_executors=InlineExecutors)
     cluster.add_applications(NODES)
-    _own_in_turn(cluster)
+    _reset_owners(cluster)
     for _ in range(NODES):
         cluster.add_node()
     context.cluster = cluster
-    _tick(context, range(NODES), RENEWAL_INTERVAL_S + PERIOD_S)  # the first nodes asked too early
+    # Renews subscriptions sent before all nodes were up.
+    _tick(context, range(NODES), RENEWAL_INTERVAL_S + PERIOD_S)
 
 
-def _own_in_turn(cluster):
+def _reset_owners(cluster):
     cluster.owners.update({f"app-{number}": number for number in range(NODES)})
 
 
@@ -65,7 +66,7 @@
     return {view.worker: view for view in views}
 
 
-@when("routing's nodes tick for {seconds:d} s")
+@when("the routing nodes tick for {seconds:d} s")
 def step_tick(context, seconds):
     context.rounds = int(seconds / PERIOD_S)
     for application in context.cluster.applications:
@@ -73,41 +74,41 @@
     _tick(context, range(NODES), seconds)
 
 
-@then("routing's workers were probed once a round")
+@then("each application worker was probed once per round")
 def step_probed_once(context):
     probes = [application.probes for application in context.cluster.applications]
     assert probes == [context.rounds] * NODES, probes
 
 
-@when("routing's worker {name} says that it leaves and node {node:d} ticks once")
+@when("application worker {name} reports that it is leaving and node {node:d} ticks once")
 def step_says_leaving(context, name, node):
     context.cluster.platform.applications[name].leaving = True
     _tick(context, [node], PERIOD_S)
 
 
-@then("all routing nodes know that {name} leaves")
-def step_know_leaving(context, name):
+@then("all routing nodes see {name} as leaving")
+def step_see_leaving(context, name):
     assert all(_views(context, node)[name].leaving for node in range(NODES))
 
 
-@when("routing's node {node:d} falls silent and {name} stops being ready")
-def step_silent(context, node, name):
-    context.cluster.bus.loses = lambda source, target: f"peer-{node}" in (source, target)
+@when("routing node {node:d} is disconnected from its peers and {name} becomes unready")
+def step_disconnected(context, node, name):
+    context.cluster.bus.drops = lambda source, target: f"peer-{node}" in (source, target)
     context.cluster.platform.applications[name].ready = False
 
 
-@when("routing's nodes but {node:d} tick for {seconds:d} s")
+@when("all routing nodes except {node:d} tick for {seconds:d} s")
 def step_tick_but(context, node, seconds):
     _tick(context, [other for other in range(NODES) if other != node], seconds)
 
 
-@then("routing's nodes but {node:d} know that {name} is not ready")
-def step_know_unready(context, node, name):
+@then("all routing nodes except {node:d} see {name} as not ready")
+def step_see_unready(context, node, name):
     known = [_views(context, other)[name].ready for other in range(NODES) if other != node]
     assert known == [False] * (NODES - 1)
 
 
-@when("routing's node {node:d} can't reach {name}")
+@when("routing node {node:d} cannot reach {name}")
 def step_unreachable(context, node, name):
     views = context.cluster.nodes[node].backend_views
     clients = views._clients
@@ -125,13 +126,13 @@
     views._clients = Unreachable()
 
 
-@then("routing's nodes but {node:d} find {name} ready")
-def step_find_ready(context, node, name):
+@then("only routing node {node:d} sees {name} as not ready")
+def step_only_unready(context, node, name):
     assert not _views(context, node)[name].ready
     assert all(_views(context, other)[name].ready for other in range(NODES) if other != node)
 
 
-@then("routing's views converge after any losses, changes and moves of ownership")
+@then("the routing views converge after any message loss, state change and ownership change")
 def step_converge(context):
     cluster = context.cluster
 
@@ -139,8 +140,8 @@
     @drawn(changes=CHANGES)
     def converge(changes):
         lost = set()
-        cluster.bus.loses = lambda source, target: (source, target) in lost
-        _own_in_turn(cluster)
+        cluster.bus.drops = lambda source, target: (source, target) in lost
+        _reset_owners(cluster)
         for what, worker, value in changes:
             application = cluster.applications[worker]
             if what == "owner":
@@ -162,8 +163,8 @@
     converge()
 
 
-@when("routing's node {node:d} uses {name} for a caller and the nodes tick for {seconds:d} s")
-def step_uses(context, node, name, seconds):
+@when("node {node:d} sends an interactive request to {name} and the nodes tick for {seconds:d} s")
+def step_interactive_request(context, node, name, seconds):
     backend = context.cluster.nodes[node].backend_views._table.by_key()[f"shop/{name}"]
     now_s = context.cluster.clock.monotonic_s()
     backend.start_request(now_s, interactive=True)
@@ -171,15 +172,15 @@
     _tick(context, range(NODES), seconds)
 
 
-@then("all routing nodes know that callers use {name}")
-def step_know_use(context, name):
+@then("all routing nodes see interactive use of {name}")
+def step_see_use(context, name):
     for node in context.cluster.nodes:
         backend = node.backend_views._table.by_key()[f"shop/{name}"]
         used = backend.used_by_callers(context.cluster.clock.monotonic_s())
         assert used or backend.report.interactive > 0, backend.report
 
 
-@then("routing's owner stays within its bytes for any number of subscriptions")
+@then("an owner's reports stay within the bandwidth limit for any number of subscriptions")
 def step_bounded(context):
     @settings(max_examples=50)
     @drawn(nodes=st.integers(1, 60), workers=st.integers(1, 20))
--- a/features/steps/routing_results_steps.py
+++ b/features/steps/routing_results_steps.py
@@ -1,4 +1,4 @@
-"""Steps of routing_results.feature: results by arm of several nodes, against what was counted."""
+"""Steps of routing_results.feature: aggregation of per-arm results over several nodes."""
 
 import itertools
 import json
@@ -35,8 +35,8 @@
 KILL = st.tuples(st.just("kill"), st.integers(0, 50), st.booleans())
 
 
-def act(network, action, number, detail):
-    """Do one action; the counts that are lost by it are returned."""
+def apply_action(network, action, number, detail):
+    """Apply an action and return the counts it loses."""
     if action == "step":
         network.step(number)
         return Counter()
@@ -53,7 +53,7 @@
     elif action == "start":
         network.add_node(number)
     elif len(network.nodes) > 1:
-        # The reporter as often as any other node: it holds the most.
+        # Half of the stops and crashes hit the reporter, which holds the most pending counts.
         node = network.reporter() if detail else node
         if action == "kill":
             return network.kill(node)
@@ -61,32 +61,32 @@
     return Counter()
 
 
-def play(actions):
-    """Play actions on a new network; it and the counts lost with nodes are returned."""
+def run_actions(actions):
+    """Apply actions to a new network; return it and the counts lost with crashed nodes."""
     network = ResultsNetwork(NODES, ZONES)
     lost = Counter()
     for action in actions:
-        lost += act(network, *action)
-    network.settle()
+        lost += apply_action(network, *action)
+    network.clear_faults_and_run()
     return network, lost
 
 
-@given("routing's results over {nodes:d} nodes in {zones:d} zones")
+@given("arm results over {nodes:d} nodes in {zones:d} zones")
 def step_network(context, nodes, zones):
     context.network = ResultsNetwork(nodes, zones)
 
 
-@when("routing's results are counted on every node")
+@when("generations of the comparison are served on every node")
 def step_count(context):
     for number, node in enumerate(context.network.nodes):
         context.network.count(node, ARMS[number % len(ARMS)])
         context.network.count(node, ARMS[0])
 
 
-@then("routing's results in the status equal what was counted")
+@then("the arm results in the status equal the served generations")
 def step_equal(context):
     network = context.network
-    network.settle()
+    network.clear_faults_and_run()
     assert network.written() == network.counted, (network.written(), network.counted)
     for arm, result in network.arms().items():
         count = network.counted[arm]
@@ -103,34 +103,34 @@
         }, result
 
 
-@then("routing's results are exact under any faults of messages and of the store")
+@then("the arm results are exact under any message and store faults")
 def step_faults(context):
     @settings(max_examples=100)
     @drawn(st.lists(st.one_of(COUNT, STEP, MESSAGE_FAULT, STORE_FAULT, LAG), max_size=40))
     def check(actions):
-        network, _ = play(actions)
+        network, _ = run_actions(actions)
         assert network.written() == network.counted, (network.written(), network.counted)
 
     check()
 
 
-@then("routing's results are exact under any planned stops")
+@then("the arm results are exact under any planned stops")
 def step_stops(context):
     @settings(max_examples=100)
     @drawn(st.lists(st.one_of(COUNT, STEP, STOP, START), max_size=40))
     def check(actions):
-        network, _ = play(actions)
+        network, _ = run_actions(actions)
         assert network.written() == network.counted, (network.written(), network.counted)
 
     check()
 
 
-@then("routing's results after sudden losses miss only what the lost nodes held")
+@then("the arm results after node crashes lack only the pending counts of the crashed nodes")
 def step_losses(context):
     @settings(max_examples=100)
     @drawn(st.lists(st.one_of(COUNT, STEP, KILL, START, LAG), max_size=40))
     def check(actions):
-        network, lost = play(actions)
+        network, lost = run_actions(actions)
         assert network.written() == network.counted - lost, (network.written(), lost)
 
     check()
@@ -142,13 +142,13 @@
         )
     )
     def check_never_more(actions):
-        network, _ = play(actions)
+        network, _ = run_actions(actions)
         assert network.written() <= network.counted, (network.written(), network.counted)
 
     check_never_more()
 
 
-@when("routing's results are counted on every node for {seconds:d} seconds")
+@when("generations of the comparison are served on every node for {seconds:d} seconds")
 def step_count_long(context, seconds):
     network = context.network
     for _ in range(2 * seconds):
@@ -157,7 +157,7 @@
         network.step(0.5)
 
 
-@then("routing's results were written at most {most:d} times")
+@then("the arm results were written at most {most:d} times")
 def step_writes(context, most):
     written_s = context.network.stored.writes_s
     assert 2 <= len(written_s) <= most, written_s
@@ -165,32 +165,32 @@
     assert min(gaps_s) >= WRITE_INTERVAL_S, gaps_s
 
 
-@then("routing's results are not written while nothing changes")
+@then("the arm results are not written while no generations are served")
 def step_no_writes(context):
     network = context.network
-    network.settle()
+    network.clear_faults_and_run()
     writes, requests = len(network.stored.writes_s), network.requests
-    network.settle()
+    network.clear_faults_and_run()
     assert (len(network.stored.writes_s), network.requests) == (writes, requests)
 
 
-@when("routing's comparison of the results is deleted before they are written")
+@when("the comparison is deleted before its arm results are written")
 def step_deleted(context):
     context.network.stored.exists = False
-    context.network.settle()
+    context.network.clear_faults_and_run()
 
 
-@then("routing's results of the new comparison begin at nothing")
-def step_anew(context):
+@then("the arm results of a new comparison of the same name start at zero")
+def step_new_comparison(context):
     network = context.network
     network.stored.exists, network.stored.status = True, {}
     network.stored.version += 5
     network.count(network.nodes[0], ARMS[1])
-    network.settle()
+    network.clear_faults_and_run()
     assert network.written() == Counter({ARMS[1]: 1}), network.written()
 
 
-@when("routing's results of a node are taken and written while all its answers are lost")
+@when("a node's arm results are accepted and written while all answers to it are lost")
 def step_answers_lost(context):
     network = context.network
     node = next(node for node in network.nodes if node is not network.reporter())
@@ -201,12 +201,12 @@
     assert node.reports._in_flight.may_be_accepted
 
 
-@when("routing's reporter of the results is lost")
+@when("the reporter of the arm results crashes")
 def step_reporter_lost(context):
     context.network.kill(context.network.reporter())
 
 
-@when("routing's reporter is lost after a write that the next reporter does not see yet")
+@when("the reporter crashes after a write that is not yet visible to the next reporter")
 def step_late_reporter(context):
     network = context.network
     first = network.reporter()
@@ -222,7 +222,7 @@
     assert network.written() == Counter({ARMS[0]: 1}), network.written()
 
 
-@when("routing's reporter stops while it does not know that its write took effect")
+@when("the reporter stops after a successful write whose answer was lost")
 def step_unknown_write(context):
     network = context.network
     reporter = network.reporter()
@@ -235,14 +235,14 @@
     network.stop(reporter)
 
 
-@when("routing's nodes of the results stop one after the other")
+@when("the nodes with arm results stop one after the other")
 def step_all_stop(context):
     network = context.network
     while network.nodes:
         network.stop(network.nodes[0])
 
 
-@then("routing's status reports by version are refused on any other version than the newest")
+@then("conditional status reports are refused unless they name the newest version")
 def step_version(context):
     resources, report = context.resources, {"details": {"results": {"mark": "first"}}}
     old = resources.get("Policy", "north").unwrap().version
@@ -256,7 +256,7 @@
     assert stored.document["status"]["details"] == report["details"], stored
 
 
-@when("routing's whole-system comparison gets {count:d} completions on each node")
+@when("the whole system's comparison serves {count:d} completions on each node")
 def step_whole_count(context, count):
     addresses = gateways(context)
     spec = {
@@ -281,7 +281,7 @@
     return document["status"].get("details", {}).get("results", {})
 
 
-@when("routing's whole-system reporter stops by SIGTERM at once")
+@when("the whole system's reporter is stopped by SIGTERM immediately")
 def step_whole_stop(context):
     mark = whole_results(gateways(context)[0])["mark"]
     name = mark.partition("/")[0]
@@ -291,18 +291,18 @@
     )
 
 
-@then("routing's whole-system status comes to {completed:d} completed")
+@then("the whole system's arm results reach {completed:d} completed")
 def step_whole_status(context, completed):
-    def has_come():
+    def is_complete():
         address = getattr(context, "system_address", None) or gateways(context)[-1]
         arms = whole_results(address).get("arms", {})
         sums = [arm["completed"] for arm in arms.values()]
         return len(sums) == len(ARMS) and sum(sums) == completed
 
-    context.wait_until(has_come, f"the status says {completed} completed", 60)
+    context.wait_until(is_complete, f"the status says {completed} completed", 60)
 
 
-@when("routing's engines take {delay_s:g} s to begin an answer")
+@when("the routing engines delay each answer by {delay_s:g} s")
 def step_slow_engines(context, delay_s):
     def slowed(generate):
         def begin(call_made):
@@ -315,7 +315,7 @@
         engine.generate = slowed(engine.generate)
 
 
-@then("routing's times by arm are at least {least_s:g} s a generation")
+@then("the arm times are at least {least_s:g} s per generation")
 def step_times(context, least_s):
     arms = context.node.statistics().by_arm
     assert sum(arm.first_tokens for arm in arms) == 10
--- a/features/support/arm_results_network.py
+++ b/features/support/arm_results_network.py
@@ -1,4 +1,4 @@
-"""Nodes that gather results by arm, over messages, members and a store that a test directs."""
+"""Simulated nodes that aggregate per-arm results, with injected message and store faults."""
 
 import itertools
 from collections import Counter
@@ -26,7 +26,7 @@
 
 @dataclass
 class StoredStatus:
-    """One comparison as the store has it; its faults apply to the next write."""
+    """Stored status of one comparison; `write_fault` applies to the next write."""
 
     version: int = 1
     status: dict = field(default_factory=dict)
@@ -40,7 +40,7 @@
 
 
 class NodeResources:
-    """What one node has in force, possibly late, and its way to the store."""
+    """One node's view of the store, which may lag behind."""
 
     def __init__(self, stored):
         self.stored = stored
@@ -72,7 +72,7 @@
 
 
 class ResultsNode:
-    """One node: what it counts, and the parts that pass it on."""
+    """A node with its counters, report forwarding and status writer."""
 
     def __init__(self, network, number, zone):
         self.network = network
@@ -120,7 +120,7 @@
         self.counted[arm] += 1
 
     def held(self):
-        """Counts that are lost with this node: what it holds or has not even collected."""
+        """Counts lost if this node crashes: pending, in flight or not yet collected."""
         held = Counter()
         self.reports.collect()
         for counts in self.reports.counts_for(COMPARISON):
@@ -132,7 +132,7 @@
 
 
 class ResultsNetwork:
-    """All nodes, on one clock that moves only by `step`."""
+    """All nodes, on a shared manual clock that `step` advances."""
 
     def __init__(self, nodes, zones):
         self.clock = ManualClock()
@@ -169,8 +169,8 @@
         for node in list(self.nodes):
             node.results.run_once()
 
-    def settle(self):
-        """Let every fault be over and every period pass."""
+    def clear_faults_and_run(self):
+        """Clear all faults and run long enough to write all pending counts."""
         for node in self.nodes:
             node.fault, node.resources.lags = "", False
         self.stored.write_fault = ""
@@ -178,7 +178,7 @@
             self.step()
 
     def stop(self, node):
-        """Stop a node as planned: it leaves, passes on what it holds, and is gone."""
+        """Stop a node gracefully: it leaves, flushes pending counts and is removed."""
         node.member = replace(node.member, state=MemberState.LEAVING)
         ended = Future()
         ended.set_result(None)
@@ -186,7 +186,7 @@
         self.nodes.remove(node)
 
     def kill(self, node):
-        """Have a node vanish; what is lost with it is returned."""
+        """Crash a node and return the counts lost with it."""
         lost = node.held()
         self.nodes.remove(node)
         return lost
--- a/features/support/routing_cluster.py
+++ b/features/support/routing_cluster.py
@@ -1,4 +1,4 @@
-"""Nodes that consist of routing only, over fakes that they share."""
+"""Routing-only nodes over shared fake back ends and configuration."""
 
 import itertools
 import threading
@@ -44,7 +44,7 @@
 
 @dataclass
 class RoutingCluster:
-    """Back ends, the configuration that names them, and nodes."""
+    """Fake back ends, their configuration and the nodes that route to them."""
 
     cleanup: ExitStack
     platform: FakePlatform = field(default_factory=FakePlatform)
@@ -53,14 +53,14 @@
     pool_options: dict = field(default_factory=dict)
     extra_services: list = field(default_factory=list)
     late_services: list = field(default_factory=list)
-    """Classes of services that need a kernel."""
+    """Service classes created with a kernel and settings."""
     comparisons: dict = field(default_factory=dict)
     leaving: set = field(default_factory=set)
     make_executors: type[Executors] = Executors
     clock: Clock = field(default_factory=SystemClock)
     bus: FakeBus = field(default_factory=FakeBus)
     owners: dict = field(default_factory=dict)
-    """Number of the node that owns a worker; each node owns the others itself."""
+    """Owner node's number by worker; a worker not listed is owned by every node."""
     routing: RoutingSettings = field(default_factory=lambda: RoutingSettings(report_period_s=0.05))
     _revisions: itertools.count = field(default_factory=lambda: itertools.count(1))
     _requests: itertools.count = field(default_factory=itertools.count)
@@ -182,12 +182,12 @@
 
 
 def tokens_of(request) -> tuple[int, ...]:
-    """All tokens of a request's whole answer."""
+    """Expected tokens of a complete answer."""
     return tuple(token_of(request.prompt, position) for position in range(request.max_tokens))
 
 
 def chunks_of(generation) -> list:
-    """The chunks of a generation; raises when it ends with a refusal."""
+    """Return all chunks; raises if the generation ends with a refusal."""
     return [item.unwrap() for item in generation]
 
 
--- a/features/support/routing_peers.py
+++ b/features/support/routing_peers.py
@@ -1,4 +1,4 @@
-"""Messages and ownership between routing nodes, in memory."""
+"""In-memory transport and worker ownership for routing nodes."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -15,11 +15,11 @@
 
 @dataclass
 class FakeBus:
-    """Carries one-way messages at once, as they are on the wire, unless it loses them."""
+    """Delivers encoded one-way messages synchronously, and can drop them."""
 
     handlers: dict = field(default_factory=dict)
-    loses: Callable[[str, str], bool] = lambda *_: False
-    """Whether a message from one address to another is lost."""
+    drops: Callable[[str, str], bool] = lambda *_: False
+    """Whether to drop a message from one address to another."""
     messages: int = 0
     sent_bytes: int = 0
 
@@ -28,7 +28,7 @@
         self.messages += 1
         self.sent_bytes += len(with_length(encode_struct(OneWay(0, plain))))
         handlers = self.handlers.get(target, {})
-        if type(message) in handlers and not self.loses(source, target):
+        if type(message) in handlers and not self.drops(source, target):
             handlers[type(message)](Sender(source, source), CODEC.from_plain(plain))
         return True
 
--- a/src/bellweir/routing/report_subscriber.py
+++ b/src/bellweir/routing/report_subscriber.py
@@ -14,9 +14,9 @@
 
 
 @dataclass
-class _Asked:
+class _SentSubscription:
     message: SubscribeReports
-    at_s: float
+    sent_s: float
 
 
 @dataclass
@@ -27,10 +27,10 @@
 
 @dataclass
 class _State:
-    asked: dict[str, _Asked] = field(default_factory=dict)
+    sent: dict[str, _SentSubscription] = field(default_factory=dict)
     """By owner address."""
     status: dict[str, _VersionedStatus] = field(default_factory=dict)
-    fresh: set[str] = field(default_factory=set)
+    missing_status: set[str] = field(default_factory=set)
     """Back ends whose current status version was not received."""
 
 
@@ -51,14 +51,14 @@
             due = {
                 address: message
                 for address, message in wanted.items()
-                if self._is_due(address, message, now_s)
+                if self._needs_renewal(address, message, now_s)
             }
-            kept = {address: self._state.asked.get(address) for address in wanted}
-            self._state.asked = {
-                address: asked for address, asked in kept.items() if asked is not None
+            retained = {address: self._state.sent.get(address) for address in wanted}
+            self._state.sent = {
+                address: sent for address, sent in retained.items() if sent is not None
             }
             for address, message in due.items():
-                self._state.asked[address] = _Asked(message, now_s)
+                self._state.sent[address] = _SentSubscription(message, now_s)
         for address, message in due.items():
             self._send(address, message)
 
@@ -71,12 +71,12 @@
                     self._state.status[entry.worker] = _VersionedStatus(
                         entry.status_version, entry.status
                     )
-                    self._state.fresh.discard(entry.worker)
-                held = self._state.status.get(entry.worker)
-                if held is None or held.version != entry.status_version:
-                    self._state.fresh.add(entry.worker)
+                    self._state.missing_status.discard(entry.worker)
+                known = self._state.status.get(entry.worker)
+                if known is None or known.version != entry.status_version:
+                    self._state.missing_status.add(entry.worker)
                     continue
-                reports.append((entry.worker, report_of(entry, held.status, now_s)))
+                reports.append((entry.worker, report_of(entry, known.status, now_s)))
         return reports
 
     def retain(self, workers: set[str]) -> None:
@@ -85,16 +85,16 @@
             self._state.status = {
                 worker: status for worker, status in self._state.status.items() if worker in workers
             }
-            self._state.fresh &= workers
+            self._state.missing_status &= workers
 
     def _message(self, backends: list[Backend], now_s: float) -> SubscribeReports:
         keys = [backend.key for backend in backends]
         interactive = [backend.key for backend in backends if backend.used_by_callers(now_s)]
-        fresh = [key for key in keys if key in self._state.fresh]
+        fresh = [key for key in keys if key in self._state.missing_status]
         return SubscribeReports(tuple(keys), tuple(interactive), tuple(fresh))
 
-    def _is_due(self, address: str, message: SubscribeReports, now_s: float) -> bool:
-        asked = self._state.asked.get(address)
-        if asked is None or asked.message != message or message.fresh:
+    def _needs_renewal(self, address: str, message: SubscribeReports, now_s: float) -> bool:
+        sent = self._state.sent.get(address)
+        if sent is None or sent.message != message or message.fresh:
             return True
-        return now_s - asked.at_s >= RENEWAL_INTERVAL_S
+        return now_s - sent.sent_s >= RENEWAL_INTERVAL_S
