--- a/src/bellweir/routing/arm_counts.py
+++ b/src/bellweir/routing/arm_counts.py
@@ -1,4 +1,4 @@
-"""Per-arm counts exchanged between nodes, and sums of them."""
+"""Per-arm counts exchanged between nodes, and their totals."""
 
 from collections.abc import Iterable
 
@@ -67,7 +67,7 @@
     """False if the receiver is stopping; the sender then keeps the counts."""
 
 
-class ArmSums:
+class ArmTotals:
     """Totals by arm; not thread-safe."""
 
     def __init__(self) -> None:
@@ -76,12 +76,12 @@
     def add(self, counts: Iterable[ArmCounts]) -> None:
         """Add counts to the totals of their arms."""
         for each in counts:
-            self._by_arm[each.key] = self._sum_of(each.key).plus(each)
+            self._by_arm[each.key] = self._total_of(each.key).plus(each)
 
     def subtract(self, counts: Iterable[ArmCounts]) -> None:
         """Subtract counts that were added before."""
         for each in counts:
-            rest = self._sum_of(each.key).plus(each, -1)
+            rest = self._total_of(each.key).plus(each, -1)
             self._by_arm[each.key] = rest
             if rest.is_zero:
                 del self._by_arm[each.key]
@@ -100,7 +100,7 @@
         """Totals of one comparison's arms."""
         return tuple(sums for sums in self._by_arm.values() if sums.comparison == comparison)
 
-    def _sum_of(self, key: ArmKey) -> ArmCounts:
+    def _total_of(self, key: ArmKey) -> ArmCounts:
         return self._by_arm.get(key, ArmCounts(key.comparison, key.arm))
 
 
--- a/src/bellweir/routing/arm_reports.py
+++ b/src/bellweir/routing/arm_reports.py
@@ -19,7 +19,7 @@
     ArmCounts,
     ArmReport,
     ArmReportAnswer,
-    ArmSums,
+    ArmTotals,
     to_counts,
 )
 from bellweir.wire.interface import Sender, Transport, WireErrorKind
@@ -31,7 +31,7 @@
 
 
 @dataclass
-class _InFlight:
+class _InFlightReport:
     """A report that has not been acknowledged."""
 
     target: str
@@ -61,13 +61,13 @@
         self._clock = clock
         self._incarnation = random.getrandbits(62)
         self._lock = threading.Lock()
-        self._pending = ArmSums()
+        self._pending = ArmTotals()
         self._collected: dict[ArmKey, ArmCounts] = {}
         """Values of the local counters already added to the pending counts."""
         self._last_accepted: dict[str, tuple[int, int]] = {}
         """Incarnation and sequence number of each sender's last report."""
         self._is_closed = False
-        self._in_flight: _InFlight | None = None
+        self._in_flight: _InFlightReport | None = None
         self._sequence = 0
         self._next_send_s = 0.0
 
@@ -126,16 +126,16 @@
         if not report.may_be_accepted:
             self.add(report.counts)
 
-    def _next_report(self, target: str) -> _InFlight | None:
+    def _next_report(self, target: str) -> _InFlightReport | None:
         if self._in_flight is None:
             with self._lock:
                 counts = self._pending.pop_all()
             if counts:
                 self._sequence += 1
-                self._in_flight = _InFlight(target, self._sequence, counts)
+                self._in_flight = _InFlightReport(target, self._sequence, counts)
         return self._in_flight
 
-    def _send(self, report: _InFlight) -> None:
+    def _send(self, report: _InFlightReport) -> None:
         message = ArmReport(self._node, self._incarnation, report.sequence, report.counts)
         match self._transport.request(report.target, message, REPORT_TIMEOUT_S):
             case Success(ArmReportAnswer(taken=True)):
