--- a/src/bellweir/routing/views_service.py
+++ b/src/bellweir/routing/views_service.py
@@ -1,8 +1,7 @@
-"""Service `backend_views`: keeps the node's picture of the back ends it routes over.
+"""Service `backend_views`: tracks the state of the back ends this node routes to.
 
-Each back end is probed by its owner, which pushes reports to the nodes that have asked for them.
-A node probes a back end of its subset itself while it has no report, the newest one is old, or
-somebody could not reach the back end.
+Each back end is probed by its owner, which pushes reports to subscribed nodes. A node probes a
+back end itself if it has no recent report or if the back end was reported unreachable.
 """
 
 import threading
@@ -25,21 +24,21 @@
 from bellweir.routing.pool_workers import Location, PoolWorker, workers_of_pool
 from bellweir.routing.prefix_hints import PrefixHints
 from bellweir.routing.probing import probe
-from bellweir.routing.report_publisher import HEARTBEAT_S, ReportPublisher
+from bellweir.routing.report_publisher import HEARTBEAT_INTERVAL_S, ReportPublisher
 from bellweir.routing.report_subscriber import ReportSubscriber
 from bellweir.routing.strategies import PREFIX_AWARE
 from bellweir.settings.models import Settings
 from bellweir.wire.interface import Message, Sender, Transport
 
-STALE_S = 2.0 * HEARTBEAT_S + 1.0
-"""Reports older than this are not relied on: two heartbeats in a row were missed."""
+MAX_REPORT_AGE_S = 2.0 * HEARTBEAT_INTERVAL_S + 1.0
+"""Allows for two consecutive missed heartbeats."""
 
-OWNED_PERIOD_S = 10.0
-"""Time after which a change of ownership changes the subsets of large pools."""
+OWNERSHIP_REFRESH_INTERVAL_S = 10.0
+"""How often the subsets of large pools are recomputed from ownership."""
 
 
 class BackendViewsService(Service, BackendViews):
-    """Probes, asks for and takes reports, and answers what is known of back ends."""
+    """Probes back ends, exchanges reports with peers and serves the resulting views."""
 
     name = names.BACKEND_VIEWS
     dependencies = (names.PLATFORM, names.CONFIGURATION, names.OWNERSHIP, names.TRANSPORT)
@@ -53,7 +52,7 @@
         self._workers: dict[str, PoolWorker] = {}
         self._prefix_pools: set[str] = set()
         self._snapshot = ConfigurationSnapshot(0)
-        self._owned_s = 0.0
+        self._ownership_refreshed_s = 0.0
         self._probing: set[str] = set()
         self._probing_lock = threading.Lock()
         self._wake = threading.Event()
@@ -65,7 +64,7 @@
         self.prefixes = PrefixHints(self._send, settings.routing.report_period_s)
 
     def start(self) -> None:
-        """Follow the configuration, serve reports and begin to probe."""
+        """Register handlers, subscribe to the configuration and start probing."""
         registry = self._kernel.registry
         self._clients = registry.find(names.PLATFORM, PlatformClients)  # type: ignore[type-abstract]
         self._ownership = registry.find(names.OWNERSHIP, Ownership)  # type: ignore[type-abstract]
@@ -78,11 +77,11 @@
         self._kernel.executors.run_task("backend-probes", self._run)
 
     def stop(self) -> None:
-        """End the probing task soon; the kernel waits for it."""
+        """Wake the probing task so that it ends; the kernel waits for it."""
         self._wake.set()
 
     def views(self, pool: str) -> tuple[BackendView, ...]:
-        """The subset of one pool; empty when the pool is unknown."""
+        """Back ends of one pool in this node's subset; empty if the pool is unknown."""
         found = self._table.pools().get(pool)
         if found is None:
             return ()
@@ -90,7 +89,7 @@
         return tuple(backend.view(now_s) for backend in found.backends)
 
     def pools(self) -> dict[str, PoolBackends]:
-        """All pools with their back ends, for the dispatcher; not to be modified."""
+        """All pools with their back ends; callers must not modify the result."""
         return self._table.pools()
 
     # --- events -------------------------------------------------------------------------------
@@ -104,7 +103,7 @@
             for worker in workers_of_pool(pool, snapshot.machines)
         }
         routed = set(self._table.by_key())
-        self._subscriber.forget_all_but(routed)
+        self._subscriber.retain(routed)
         self.prefixes.retain(routed, set(self._workers))
         self._prefix_pools = {
             name
@@ -118,7 +117,7 @@
 
     def _on_reports(self, _sender: Sender, message: PushReports) -> None:
         backends = self._table.by_key()
-        for key, report in self._subscriber.take(message, self._now_s()):
+        for key, report in self._subscriber.apply(message, self._now_s()):
             backend = backends.get(key)
             if backend is not None:
                 backend.update_report(report)
@@ -135,16 +134,19 @@
             self._wake.wait(self._settings.report_period_s)
 
     def _tick(self, now_s: float) -> None:
-        """One round: subscribe, probe what is this node's to probe, push reports."""
-        if self._table.has_large_pools and now_s - self._owned_s >= OWNED_PERIOD_S:
-            self._owned_s = now_s
+        """Renew subscriptions, start due probes and push reports."""
+        if (
+            self._table.has_large_pools
+            and now_s - self._ownership_refreshed_s >= OWNERSHIP_REFRESH_INTERVAL_S
+        ):
+            self._ownership_refreshed_s = now_s
             self._table.apply(self._snapshot, self._ownership.owns)
         to_probe = {key: self._workers.get(key) for key in self._publisher.workers(now_s)}
         by_owner: dict[str, list[Backend]] = {}
         for key, backend in self._table.by_key().items():
             owner = self._ownership.owner_of(backend.name)
             owned = owner.node == self._node
-            if owned or backend.needs_probe(now_s, STALE_S):
+            if owned or backend.needs_probe(now_s, MAX_REPORT_AGE_S):
                 to_probe[key] = backend.worker
             if not owned:
                 by_owner.setdefault(owner.peer_address, []).append(backend)
@@ -155,7 +157,7 @@
         self._publisher.push(now_s)
 
     def _start_probe(self, worker: PoolWorker) -> None:
-        """Probe off this thread, so that a hung back end delays no other one's probe."""
+        """Probe on an executor thread, so that a hung back end does not delay other probes."""
         with self._probing_lock:
             if worker.key in self._probing:
                 return
@@ -170,25 +172,25 @@
             backend = self._table.by_key().get(worker.key)
             match probe(worker, self._clients, self._kernel.clock):
                 case Success(report):
-                    self._take_probe(worker, backend, report)
+                    self._record_probe_success(worker, backend, report)
                 case Failure(_):
-                    self._take_failure(worker, backend)
+                    self._record_probe_failure(worker, backend)
         finally:
             self._end_probe(worker)
 
-    def _take_probe(
+    def _record_probe_success(
         self, worker: PoolWorker, backend: Backend | None, report: BackendReport
     ) -> None:
-        others = self._publisher.interactive_of(worker.key)
+        others = self._publisher.interactive_subscribers(worker.key)
         if backend is not None:
             backend.update_report(replace(report, interactive=others))
         self._publisher.publish(worker.key, report, self._now_s())
         if worker.pool in self._prefix_pools and self._ownership.owns(worker.name):
             engine = self._clients.engine(worker.address)
-            subscribers = self._publisher.subscribers_of(worker.key)
+            subscribers = self._publisher.subscribers_to(worker.key)
             self.prefixes.read(worker.key, engine, self._now_s(), subscribers)
 
-    def _take_failure(self, worker: PoolWorker, backend: Backend | None) -> None:
+    def _record_probe_failure(self, worker: PoolWorker, backend: Backend | None) -> None:
         now_s = self._now_s()
         if backend is not None:
             backend.mark_unreachable(now_s)
