--- a/src/bellweir/hosted/views/configuration_parts.py
+++ b/src/bellweir/hosted/views/configuration_parts.py
@@ -1,20 +1,4 @@
-"""Decodes a configuration part by part, so that an invalid part does not affect the others.
-
-The fallback for an invalid part must be safe whatever the part was meant to say:
-
-- *A route* with a valid host and prefix keeps its previous definition only if all of
-  `ROUTING_FIELDS` are unchanged. Otherwise it is closed: its requests are answered 503. Dropping it
-  would match its requests to a shorter prefix or answer them as unknown, and the previous
-  definition may be the one to be replaced.
-- *A service* keeps its previous entry or gets the defaults, which only affect how its workers are
-  called.
-- *A tenant* keeps its previous keys; only a valid part revokes a key.
-- *Limits* keep their previous values.
-
-The whole configuration is rejected if it has no valid version, if a list of parts is not a list or
-if a part has no valid key. It is also rejected if all of its tenants are invalid, since a
-configuration without tenants requires no keys.
-"""
+"""Decodes a configuration part by part, so that an invalid part does not affect the others."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -78,9 +62,15 @@
 def read_configuration(
     spec: Any, previous_spec: Any = None, previous: Configuration | None = None
 ) -> ReadConfiguration:
-    """Decode a configuration, with fallbacks from the previous one.
+    """Decode a configuration, with fallbacks for invalid parts.
+
+    An invalid route keeps its previous definition if all of `ROUTING_FIELDS` are unchanged and is
+    closed otherwise. An invalid service keeps its previous entry or gets the defaults. An invalid
+    tenant keeps its previous keys, since only a valid part may revoke a key. Invalid limits keep
+    their previous values.
 
-    Raises `InvalidEntryError` if the whole configuration has to be rejected.
+    Raises `InvalidEntryError` if the configuration has no valid version, if a list of parts is not
+    a list, if a part has no valid key or if all tenants are invalid.
 
     >>> routes = [{"host": "h", "pathPrefix": "/a/", "timeoutMs": "soon"}]
     >>> result = read_configuration({"version": 4, "routes": routes})
@@ -139,6 +129,8 @@
                 if route is not None:
                     yield route
                 else:
+                    # Requests to a closed route are answered 503. Without the route, they would
+                    # match a shorter prefix or be answered as unknown.
                     self._closed.add(address)
                 fallback = CLOSED if route is None else FORMER
                 self._record_unreadable("route", "".join(address), failure, fallback)
@@ -178,6 +170,7 @@
     def _tenants(self) -> tuple[TenantEntry, ...]:
         result = tuple(self._named("tenants", TenantEntry, self._tenant_fallback))
         if not result and self._list("tenants"):
+            # A configuration without tenants requires no keys.
             raise InvalidEntryError("none of the tenants can be decoded")
         return result
 
--- a/src/bellweir/hosted/views/follower.py
+++ b/src/bellweir/hosted/views/follower.py
@@ -1,10 +1,6 @@
 """Follows all objects of one kind in the store by a list and watches from its revision on.
 
-A watch whose connection was silently lost looks like one without changes, so `check` periodically
-compares the view with an inexpensive stale read.
-
-While peers relay the changes (`relay`), the store is not called. The follower resumes as soon as
-relayed updates are too old.
+While peers relay recent changes (`relay`), the store is not called.
 """
 
 import random
@@ -132,6 +128,8 @@
     def check(self) -> None:
         """Interrupt the current watch if a stale read fails or shows undelivered changes.
 
+        A watch whose connection was silently lost looks like one without changes.
+
         A stale read may be older than the view, so only a newer revision that the watch had time
         to deliver is conclusive.
         """
--- a/src/bellweir/hosted/views/incarnation_tracker.py
+++ b/src/bellweir/hosted/views/incarnation_tracker.py
@@ -1,11 +1,5 @@
 """Tracks the newest incarnation (start) of each worker.
 
-The last write in the store may come from an incarnation that has ended, if its write was delayed.
-Start times order incarnations unless the worker's clock was set back. An incarnation with a later
-start time is accepted at once; one with an earlier time, or a superseded one, only when it is
-written twice without a write of the newer one in between: a live worker rewrites its entry
-periodically, an ended one has at most one write in flight.
-
 >>> tracker = IncarnationTracker()
 >>> first, second = Incarnation("i-1", 9_000), Incarnation("i-1", 5_000)
 >>> [tracker.observe(*read).value for read in ((first, 1), (second, 2), (second, 3), (first, 4))]
@@ -70,6 +64,11 @@
 class IncarnationTracker:
     """Newest incarnation by worker. Not thread-safe.
 
+    The last write in the store may be a delayed one of an ended incarnation. An incarnation with a
+    later start time is accepted at once; one with an earlier time (after the worker's clock was set
+    back) or a superseded one only if it is written twice without a write of the newer one in
+    between: a live worker rewrites its entry, an ended one has at most one write in flight.
+
     A worker whose entry has no start time is not tracked: each read of it is `KNOWN`.
     """
 
--- a/src/bellweir/hosted/views/readers.py
+++ b/src/bellweir/hosted/views/readers.py
@@ -1,12 +1,7 @@
 """Selects the nodes that read the store and relay its changes to others.
 
-Two nodes of a deployment, in different zones if possible, read the store. They relay to the two
-readers of each large zone, which relay to the other nodes of their zone, and directly to the nodes
-of small zones. So the number of calls to the store is independent of the size of the deployment,
-and a change reaches every node in two hops, of which only one crosses zones.
-
-Nodes with the same membership view choose the same readers. Nodes whose views differ for a while,
-or whose sources are gone or stale, follow the store themselves; nothing else depends on the choice.
+Nodes with the same membership view select the same readers. A node whose view differs, or whose
+sources are gone or stale, follows the store itself.
 """
 
 from collections.abc import Sequence
@@ -27,7 +22,10 @@
 
 
 def deployment_readers(members: Sequence[Member]) -> list[Member]:
-    """Return the nodes that read the store for all others; none in a small deployment."""
+    """Return the nodes that read the store for all others; none in a small deployment.
+
+    They are in different zones if possible.
+    """
     zones = sorted({one.zone for one in members})
     first = [first_of_zone(members, zone, MIN_RELAYED_NODES) for zone in zones]
     if sum(len(nodes) for nodes in first) < MIN_RELAYED_NODES:
@@ -39,7 +37,11 @@
 
 
 def sources_of(own: Member, members: Sequence[Member]) -> list[Member]:
-    """Return the nodes that relay to `own`; if there are none, it follows the store itself."""
+    """Return the nodes that relay to `own`; if there are none, it follows the store itself.
+
+    The deployment's readers relay to the readers of large zones and to the nodes of small zones, so
+    that a change reaches every node in two hops, of which only one crosses zones.
+    """
     for readers in (zone_readers(members, own.zone), deployment_readers(members)):
         if readers and all(one.node != own.node for one in readers):
             return readers
--- a/src/bellweir/hosted/views/relay.py
+++ b/src/bellweir/hosted/views/relay.py
@@ -1,18 +1,7 @@
 """Relays the views between nodes, so that only a few nodes call the store.
 
-Every node but the deployment's readers (`readers`) subscribes to two sources and receives their
-changes and heartbeats. Each update carries its age, so that a node whose sources are cut off from
-the store notices and follows the store itself; updates relayed in a cycle only grow older.
-
-A reader that the store rejects, or that cannot reach it, subscribes to fallback sources, more with
-each renewal until one is up to date, and forwards their updates to its own subscribers. It probes
-the store periodically. Other nodes do the same when their sources are silent.
-
-A starting node queries its seeds and reads the store only if none answers in time, since it knows
-its zone's readers only after membership has settled.
-
-The number of messages per node is constant, except for readers, which send updates and heartbeats
-to each of their subscribers.
+Every node but the deployment's readers (`readers`) subscribes to two sources. A node that is served
+neither by its sources nor by the store subscribes to fallback sources.
 """
 
 import random
@@ -71,7 +60,11 @@
 
 
 class ViewsNews(Message, frozen=True):
-    """Updates for a subscriber, or the answer to a query."""
+    """Updates for a subscriber, or the answer to a query.
+
+    Each update carries its age, so that a node whose sources are cut off from the store notices.
+    Updates that are relayed in a cycle only grow older.
+    """
 
     kinds: tuple[KindUpdate, ...]
 
@@ -152,7 +145,10 @@
                 self._send_update(address, subscriber)
 
     def subscribe(self, stopping: threading.Event) -> None:
-        """Query seeds at first, then renew the subscriptions until `stopping`. Runs as one task."""
+        """Query seeds at first, then renew the subscriptions until `stopping`. Runs as one task.
+
+        The readers of the zone are known only after membership has settled.
+        """
         self._query_seeds(SEED_PHASE_S, stopping)
         self.renew()
         if any(one.has_readers for one in self._followers.values()):
@@ -185,7 +181,10 @@
         return self.is_fresh()
 
     def renew(self) -> None:
-        """Renew the subscriptions to the regular sources, and to fallback sources if cut off."""
+        """Renew the subscriptions to the regular sources, and to fallback sources if cut off.
+
+        Renewals choose further fallback sources until one is up to date.
+        """
         own = self._membership.self_member()
         members = self._membership.members()
         sources = [one.peer_address for one in sources_of(own, members)]
--- a/src/bellweir/hosted/views/workers.py
+++ b/src/bellweir/hosted/views/workers.py
@@ -1,12 +1,4 @@
-"""View of the live workers in the store.
-
-While the store is unavailable, entries of live workers expire and are rewritten soon after its
-recovery. So a ready worker whose entry is missing then is kept for a grace period and dropped if
-its entry is not back by the end.
-
-A restarted worker replaces its former incarnation at once (`incarnation_tracker`). A delayed entry
-of a former incarnation is ignored.
-"""
+"""View of the live workers in the store."""
 
 import threading
 import time
@@ -69,7 +61,14 @@
 
 
 class WorkersView:
-    """Workers by instance. Reads take no lock."""
+    """Workers by instance. Reads take no lock.
+
+    Entries of live workers expire during an outage of the store and are rewritten soon after its
+    recovery. A ready worker whose entry is missing then is kept for a grace period.
+
+    A restarted worker replaces its former incarnation at once. A delayed entry of a former
+    incarnation is ignored (`incarnation_tracker`).
+    """
 
     def __init__(self, now_s: Callable[[], float] = time.monotonic) -> None:
         self._now_s = now_s
--- a/src/bellweir/hosted/weights/controller.py
+++ b/src/bellweir/hosted/weights/controller.py
@@ -1,14 +1,6 @@
 """Rollout controller: orders workers to load the newest published weight versions (see `plan`).
 
-The desired state is the newest published version; the reported state is queried from the worker
-after each order, since its entry in the store lags by a heartbeat. Only the lease holder sends
-orders, each with the fencing token and for one incarnation of a worker. An unanswered order may
-still be executed: the next one carries the worker's last sequence number, so that only one of the
-two takes effect.
-
-Sequence numbers restart with the worker, so an order to a former incarnation may be executed by the
-new one and return it to an older version. A report therefore takes precedence over the entry only
-until the entry must be up to date.
+Only the lease holder sends orders, each with the fencing token and for one incarnation of a worker.
 """
 
 import time
@@ -67,7 +59,12 @@
 
 @dataclass(frozen=True, slots=True)
 class _ReportedVersion:
-    """A weight version that a worker reported."""
+    """A weight version that a worker reported.
+
+    The worker's entry in the store lags by a heartbeat, so a report takes precedence at first.
+    Later the entry does: an order to a former incarnation may be executed by the new one, whose
+    sequence numbers restart, and return it to an older version.
+    """
 
     version: int
     until_s: float
@@ -186,6 +183,8 @@
         fence = self._lease.begin_operation(ORDER_TIMEOUT_S)
         if fence == 0:
             return
+        # An unanswered order may still be executed. The next one carries the worker's last sequence
+        # number, so that only one of the two takes effect.
         order = VersionOrder(
             model, version, _load_mode(table, worker), self._node, fence, report.sequence
         )
--- a/src/bellweir/hosted/weights/job_messages.py
+++ b/src/bellweir/hosted/weights/job_messages.py
@@ -1,9 +1,7 @@
 """Messages that tell the holder of the rollout lease each model's newest batch job.
 
-The allowed version lag of a model is derived from its jobs, but the lease holder need not have a
-replica of them; without any job it has to load every version. The leader of the jobs sends the
-newest job of each model once a second and when it changes. The sender's address also tells the
-holder who the leader is.
+The allowed version lag of a model is derived from its jobs. The holder may have no replica of them
+and would have to load every version without any job.
 
 >>> jobs = [NewestJob("a", "m", 4, 1.0), NewestJob("b", "m", 5, 2.0), NewestJob("c", "n", 1, 0.0)]
 >>> [job.id for job in newest_of(jobs)]
--- a/src/bellweir/hosted/weights/lease.py
+++ b/src/bellweir/hosted/weights/lease.py
@@ -1,18 +1,4 @@
-"""A lease kept as one object of the store, whose revision is the fencing token.
-
-A holder announces each renewal to the other candidates (`lease_messages`), so that they know the
-newest revision and its age without reading the store, also while it is unavailable.
-
-The lease is valid for a fraction of the lease time, counted on the holder's monotonic clock from
-the start of its last successful renewal. A successor replaces the object only after it has been
-unchanged for the whole lease time and then waits again, so that operations of two holders are
-separated by at least `separation_s`. Clocks of different machines are never compared.
-
-A holder that the store rejects while it serves other nodes hands the lease over: it starts no
-further operation and announces the revision that it gives up. Any candidate may then replace
-exactly this revision at once, or the one that a renewal of it made, since the store may execute a
-renewal after the request has timed out.
-"""
+"""A lease kept as one object of the store, whose revision is the fencing token."""
 
 import random
 import threading
@@ -94,7 +80,11 @@
 
 @dataclass(frozen=True)
 class _HandOver:
-    """A hand-over that the former holder announced."""
+    """A hand-over that the former holder announced.
+
+    Any candidate may replace the revision given up at once, or the one that a renewal of it made,
+    since the store may execute a renewal after the request has timed out.
+    """
 
     revision: int
     """Newest revision that the former holder knew."""
@@ -113,7 +103,16 @@
 
 
 class Lease:
-    """One node's side of a lease. `step` is called periodically by a single task."""
+    """One node's side of a lease. `step` is called periodically by a single task.
+
+    The lease is valid for a fraction of the lease time, counted on the holder's monotonic clock
+    from the start of its last successful renewal. A successor replaces the object only after it has
+    been unchanged for the whole lease time and then waits again, so that operations of two holders
+    are separated by at least `separation_s`. Clocks of different machines are never compared.
+
+    A holder announces each renewal to the other candidates (`lease_messages`), so that they know
+    the newest revision and its age also while the store is unavailable.
+    """
 
     def __init__(
         self,
@@ -254,7 +253,10 @@
         return since_s if self._now_s() - since_s >= HAND_OVER_FRACTION * self._lease_s else None
 
     def hand_over(self) -> None:
-        """Give up the lease by a message to the other candidates, without writing to the store."""
+        """Give up the lease by a message to the other candidates, without writing to the store.
+
+        Used by a holder that the store rejects while it serves other nodes.
+        """
         relinquished = self._relinquish("handed over")
         if relinquished is None:
             return
--- a/src/bellweir/hosted/weights/weight_load_messages.py
+++ b/src/bellweir/hosted/weights/weight_load_messages.py
@@ -1,9 +1,7 @@
 """Messages that tell the coordinator of batch jobs which workers are loading weights.
 
-A worker refuses requests for a model whose weights it loads. The holder of the rollout lease
-announces a load before it sends the order, and its end when the worker has the version or has
-refused the order. A lost message costs one refused request. Durations count from the arrival of
-the message, so the clocks of two nodes are never compared.
+A worker refuses requests for a model whose weights it loads; a lost message costs one refused
+request.
 """
 
 from abc import ABC, abstractmethod
@@ -23,7 +21,7 @@
     born_ms: int
     model: str
     for_s: float
-    """Expected remaining seconds of the load; 0 if it has ended."""
+    """Expected remaining seconds from the arrival of the message; 0 if the load has ended."""
 
     @property
     def worker(self) -> Incarnation:
