--- a/features/hosted_lease.feature
+++ b/features/hosted_lease.feature
@@ -1,44 +1,44 @@
 Feature: One holder of a lease acts at a time
   The lease is an object of the store, replaced by compare-and-set. Whatever answers are lost,
-  whichever node is paused or killed and however their clocks are offset, the acts of two holders
-  are apart by the agreed time, and a later holder's fence is higher.
+  whichever node is paused or killed and however their clocks are offset, operations of two
+  holders are separated by a minimum time, and a later holder's fencing token is higher.
 
   Scenario: Nodes compete under lost answers, outages, pauses and restarts
-    Then no two holders act within the agreed time and fences only rise
+    Then operations of two holders are separated and fencing tokens only increase
 
   Scenario: A holder that is killed is followed by its own machine at once
-    Then a restarted holder takes its lease again without a wait, with a higher fence
+    Then a restarted holder acquires its lease again at once, with a higher fencing token
 
   Scenario: A holder that is gone is followed soon after its lease has run out
-    Then another node holds the lease of a lost machine within a second of its end
+    Then another node acquires the lease of a lost holder within a second of its expiry
 
   Scenario: A holder is gone while the store is away
-    Then another node acts within a second of the store's return
+    Then another node may operate within a second of the store's recovery
 
   Scenario: A holder that is to be taken away
-    Then a holder that is asked aside is followed at once if it has not acted lately
+    Then a holder that steps aside is succeeded at once if it has not operated recently
 
   Scenario: A lease given back is taken without waiting for its end
-    Then a successor of a planned stop acts after the agreed time only
+    Then the successor of a holder that releases the lease operates only after the separation time
 
   Scenario: A holder that the store turns away while it serves others
-    Then another node acts within 2 s of a hand-over, 2 s sooner than without
-    And a renewal whose answer comes after the hand-over does not bring the lease back
-    And a hand-over that arrives after the lease was taken again changes nothing
+    Then another node operates within 2 s of a hand-over, 2 s sooner than without one
+    And a renewal that is answered after the hand-over does not restore the lease
+    And a hand-over message that arrives after the lease was acquired again has no effect
 
   Scenario: A holder whose renewal is done late hands the lease over
-    Then another node has the lease within 1 s of a hand-over, whenever the late renewal is done
-    And it acts the agreed time after the last act of the one that handed over
+    Then another node acquires the lease within 1 s of a hand-over, whenever the late renewal is executed
+    And it operates after the separation time from the former holder's last operation
 
   Scenario: A renewal whose answer is missing
-    Then a holder whose renewal was done, but answered too late, acts no longer than it may
-    And a holder whose first renewal was never done acts no longer than it may
+    Then a holder whose renewal was executed but answered too late stops operating in time
+    And a holder whose first renewal was never executed stops operating in time
 
   Scenario: A renewal that is done after it was read back
-    Then a holder whose renewal was done late keeps its lease
+    Then a holder whose renewal was executed late keeps its lease
 
   Scenario: A lease is taken and the answer is missing
-    Then the one that took it knows so within 1 s, whether it was done at once, late or never
+    Then the node holds the lease within 1 s, whether its write was executed at once, late or never
 
   Scenario: A holder that still waits gives the lease up
-    Then its successor waits for the rest of the agreed time only
+    Then its successor waits only for the rest of the separation time
--- a/features/steps/hosted_lease_steps.py
+++ b/features/steps/hosted_lease_steps.py
@@ -163,7 +163,7 @@
 EVENTS = ("quiet", "lossy", "late", "down", "pause", "restart", "release", "aside", "handover")
 
 
-@then("no two holders act within the agreed time and fences only rise")
+@then("operations of two holders are separated and fencing tokens only increase")
 def then_separate(context):
     acted = {"handovers": 0}
 
@@ -203,7 +203,7 @@
     assert acted["handovers"] > 20, "the runs hardly ever changed the holder"
 
 
-@then("a restarted holder takes its lease again without a wait, with a higher fence")
+@then("a restarted holder acquires its lease again at once, with a higher fencing token")
 def then_restarted(context):
     machines = Machines(1, 1)
     machines.leases[0].step()
@@ -216,7 +216,7 @@
     assert machines.leases[0].fencing_token > first
 
 
-@then("a successor of a planned stop acts after the agreed time only")
+@then("the successor of a holder that releases the lease operates only after the separation time")
 def then_released(context):
     machines = Machines(2, 1)
     machines.leases[0].step()
@@ -231,8 +231,8 @@
     assert SEPARATION_S <= waited_s < LEASE_S
 
 
-@then("another node holds the lease of a lost machine within a second of its end")
-def then_followed(context):
+@then("another node acquires the lease of a lost holder within a second of its expiry")
+def then_succeeded(context):
     for seed in range(20):
         machines = Machines(2, seed)
         holder, other = machines.leases
@@ -249,14 +249,14 @@
                     due_s[number] = machines.now_s + lease.pause_s()
             if other.fencing_token:
                 taken_s = machines.now_s
-        assert taken_s is not None, "nobody took it"
+        assert taken_s is not None, "no node acquired the lease"
         # Unchanged for the lease time, counted from a read up to one interval after the renewal.
         assert taken_s - lost_s <= LEASE_S + POLL_INTERVAL_S + 1.0, (seed, taken_s - lost_s)
         assert other.fencing_token > holder.fencing_token
 
 
-@then("another node acts within a second of the store's return")
-def then_soon(context):
+@then("another node may operate within a second of the store's recovery")
+def then_recovered(context):
     for seed in range(20):
         machines = Machines(3, seed)
         machines.leases[0].step()
@@ -287,7 +287,7 @@
         assert acting.count(True) == 1, (seed, acting)
 
 
-@then("a holder that is asked aside is followed at once if it has not acted lately")
+@then("a holder that steps aside is succeeded at once if it has not operated recently")
 def then_aside(context):
     machines = Machines(2, 1)
     first, second = machines.leases
@@ -304,11 +304,14 @@
         second.step()
         assert second.begin_operation(0.0)
         first.step()
-        assert not first.is_held, "one that stands aside took the lease"
+        assert not first.is_held, "a node that stepped aside acquired the lease"
         first, second = second, machines.make_lease(0)
 
 
-@then("another node acts within {seconds:g} s of a hand-over, {sooner:g} s sooner than without")
+@then(
+    "another node operates within {seconds:g} s of a hand-over, "
+    "{sooner:g} s sooner than without one"
+)
 def then_handed_over(context, seconds, sooner):
     taken = {}
     for hands_over in (True, False):
@@ -329,13 +332,13 @@
             machines.deliver_messages()
             for lease in others:
                 lease.step()
-            assert machines.now_s < given_up_s + 30.0, "nobody acts"
+            assert machines.now_s < given_up_s + 30.0, "no node operates"
         taken[hands_over] = machines.now_s - given_up_s
     assert taken[True] <= seconds, taken
     assert taken[False] - taken[True] >= sooner, taken
 
 
-@then("a renewal whose answer comes after the hand-over does not bring the lease back")
+@then("a renewal that is answered after the hand-over does not restore the lease")
 def then_late_renewal(context):
     machines = Machines(2, 1)
     holder, store = machines.leases[0], machines.store
@@ -356,7 +359,7 @@
     assert not holder.begin_operation(0.0)
 
 
-@then("a hand-over that arrives after the lease was taken again changes nothing")
+@then("a hand-over message that arrives after the lease was acquired again has no effect")
 def then_late_hand_over(context):
     machines = Machines(2, 1)
     holder, other = machines.leases
@@ -393,24 +396,24 @@
 
 
 @then(
-    "another node has the lease within {seconds:g} s of a hand-over, "
-    "whenever the late renewal is done"
+    "another node acquires the lease within {seconds:g} s of a hand-over, "
+    "whenever the late renewal is executed"
 )
 def then_late_renewal_followed(context, seconds):
     context.gaps_s = {}
     for moment in EXECUTION_TIMES:
         for seed in range(5):
-            taken_s, context.gaps_s[moment, seed] = _hand_over_beside(moment, seed)
+            taken_s, context.gaps_s[moment, seed] = _hand_over_during_renewal(moment, seed)
             assert taken_s <= seconds, (moment, seed, taken_s)
 
 
-@then("it acts the agreed time after the last act of the one that handed over")
+@then("it operates after the separation time from the former holder's last operation")
 def then_late_renewal_apart(context):
     for case, gap_s in context.gaps_s.items():
         assert SEPARATION_S <= gap_s <= SEPARATION_S + 1.0, (case, gap_s)
 
 
-def _hand_over_beside(moment, seed):
+def _hand_over_during_renewal(moment, seed):
     """Hand over while the outcome of a renewal is unknown.
 
     Return the time until another node has the lease, and the time between the last operation before
@@ -461,7 +464,7 @@
         machines.store.end_outage()
     while not any(lease.is_held for lease in others):
         go_on(0.05, others)
-        assert machines.now_s < handed_s + 30.0, "nobody takes it"
+        assert machines.now_s < handed_s + 30.0, "no node acquires the lease"
     taken_s = machines.now_s - handed_s
     while not any(lease.begin_operation(OPERATION_S) for lease in others):
         go_on(0.05, others)
@@ -470,7 +473,7 @@
 
 # A renewal without an answer must extend the lease from its start, not from the later read that
 # finds it executed, and only if it was executed.
-def _gap_after_last_act_s(machines):
+def _gap_after_last_operation_s(machines):
     """Stop renewing; return the time between the last operation and the successor's first."""
     holder, *others = machines.leases
     end_s = machines.now_s + 30.0
@@ -481,8 +484,8 @@
         machines.now_s += 0.05
         for lease in others:
             lease.step()
-        assert machines.now_s < end_s, "nobody acts"
-    assert operation_end_s is not None, "the holder did not act"
+        assert machines.now_s < end_s, "no node operates"
+    assert operation_end_s is not None, "the holder did not operate"
     return machines.now_s - operation_end_s
 
 
@@ -495,7 +498,7 @@
     return machines
 
 
-@then("a holder whose renewal was done, but answered too late, acts no longer than it may")
+@then("a holder whose renewal was executed but answered too late stops operating in time")
 def then_slow_renewal(context):
     for seed in range(5):
         machines = _without_messages(seed)
@@ -512,12 +515,12 @@
         store.replace = slow_write
         holder.step()
         store.replace = write
-        gap_s = _gap_after_last_act_s(machines)
+        gap_s = _gap_after_last_operation_s(machines)
         assert gap_s >= SEPARATION_S, (seed, gap_s)
 
 
-@then("a holder whose first renewal was never done acts no longer than it may")
-def then_undone_renewal(context):
+@then("a holder whose first renewal was never executed stops operating in time")
+def then_unexecuted_renewal(context):
     for seed in range(5):
         machines = _without_messages(seed)
         store, write = machines.store, machines.store.replace
@@ -525,12 +528,12 @@
         store.replace = lambda *_words: Failure(StoreError(StoreErrorKind.UNKNOWN, "not done"))
         machines.leases[0].step()
         store.replace = write
-        gap_s = _gap_after_last_act_s(machines)
+        gap_s = _gap_after_last_operation_s(machines)
         assert gap_s >= SEPARATION_S, (seed, gap_s)
 
 
 # A renewal that is executed after the object was read back must not look like another holder's.
-@then("a holder whose renewal was done late keeps its lease")
+@then("a holder whose renewal was executed late keeps its lease")
 def then_late_renewal_kept(context):
     machines = _without_messages(1)
     # A holder that has replaced the lease object, not created it.
@@ -547,17 +550,18 @@
     holder.step()
     assert holder.fencing_token == fencing_token, "the lease was lost"
     machines.now_s += 0.1
-    assert holder.begin_operation(OPERATION_S), "the holder may not act"
+    assert holder.begin_operation(OPERATION_S), "the holder may not operate"
     machines.now_s += 1.6
     holder.step()
-    assert holder.begin_operation(OPERATION_S), "the next renewal was not done"
+    assert holder.begin_operation(OPERATION_S), "the next renewal was not executed"
 
 
 # A node whose acquisition got no answer must check its outcome soon.
 @then(
-    "the one that took it knows so within {seconds:g} s, whether it was done at once, late or never"
+    "the node holds the lease within {seconds:g} s, whether its write was executed at once, "
+    "late or never"
 )
-def then_open_take(context, seconds):
+def then_unanswered_acquisition(context, seconds):
     for is_made in (False, True):
         for moment in ("at once", "late", "never"):
             machines = Machines(2, 1)
@@ -587,7 +591,7 @@
 
 # A holder that gives up the lease while it waits must not make its successor wait for the whole
 # separation time again.
-@then("its successor waits for the rest of the agreed time only")
+@then("its successor waits only for the rest of the separation time")
 def then_rest_of_wait(context):
     for waited_s in (0.0, 1.0, 3.0, 3.5):
         for hands_over in (False, True):
--- a/features/steps/hosted_plan_steps.py
+++ b/features/steps/hosted_plan_steps.py
@@ -1,4 +1,4 @@
-"""Roll-outs of weight versions: the plan against an oracle, the controller before stand-ins."""
+"""Rollouts of weight versions: the plan with an oracle, the controller with simulated workers."""
 
 import math
 import time
@@ -27,7 +27,7 @@
 MODEL = "m"
 
 
-@then("at any number of workers, models and lags enough workers fit and loads stay bounded")
+@then("for any workers, models and lags enough workers hold a usable version and loads are bounded")
 def then_bounded(context):
     @settings(max_examples=120)
     @given(
@@ -63,7 +63,7 @@
 
 @given_step(
     "{count:d} workers that serve {models:d} models, "
-    "whose versions are named faster than {max_concurrent:d} loads at once can follow"
+    "whose versions are published faster than {max_concurrent:d} concurrent loads can follow"
 )
 def given_scarce_loads(context, count, models, max_concurrent):
     workers = [Worker(f"i-{n}", WorkerEntry("s", f"h:{n}")) for n in range(count)]
@@ -84,13 +84,15 @@
         )
 
 
-@then("after any number of rounds no model has fewer than half the fitting workers of another one")
+@then("after each round no model has fewer than half as many usable workers as another one")
 def then_fair(context):
     for fitting in context.fitting[1:]:
         assert 2 * min(fitting) + 1 >= max(fitting) > 0, context.fitting
 
 
-@given_step("loads that share one source of weights, which {width:d} of {count:d} workers fill")
+@given_step(
+    "loads from one shared source of weights, which {width:d} of {count:d} workers saturate"
+)
 def given_shared_source(context, width, count):
     context.limit, context.count = WeightLoadLimit(), count
 
@@ -100,20 +102,20 @@
     context.load_s = load_s
     for _ in range(60):
         max_concurrent = context.limit.max_concurrent(count)
-        # The first of a wave begins alone.
+        # The first load of a wave runs alone.
         context.limit.record_duration(load_s(1), count)
         for _ in range(max_concurrent - 1):
             context.limit.record_duration(load_s(max_concurrent), count)
 
 
-@then("the limit falls until loads are fast again, and never below 2")
+@then("the limit decreases until loads are fast again, but not below 2")
 def then_limit_falls(context):
     max_concurrent = context.limit.max_concurrent(context.count)
     assert MIN_CONCURRENT <= max_concurrent < WeightLoadLimit().max_concurrent(context.count)
     assert context.load_s(max_concurrent) < 1.6 * context.load_s(1), max_concurrent
 
 
-@then("it rises to its first value once the source is wider")
+@then("it increases to its initial value once the source has more bandwidth")
 def then_limit_rises(context):
     for _ in range(60):
         context.limit.record_duration(context.load_s(1), context.count)
@@ -124,14 +126,14 @@
     )
 
 
-@then("the lag is the distance that the newest job allowed when it came, at most 1")
+@then("the lag is the one that the newest job allowed on its arrival, at most 1")
 def then_lag(context):
     jobs = []
     lags = VersionLags(lambda: jobs)
     assert lags.lag_of(MODEL, 1) == 0
     jobs.append(make_job("a", 1, 1, minimum_version=1))
     assert lags.lag_of(MODEL, 2) == 1
-    # The next version is named before its job comes.
+    # The next version is published before its job arrives.
     assert lags.lag_of(MODEL, 3) == 1
     jobs.append(make_job("b", 1, 1, minimum_version=3))
     assert lags.lag_of(MODEL, 3) == 0
@@ -140,7 +142,7 @@
 
 
 class RecordedTransport:
-    """Hands each message to the node's handler at once, or keeps it for later."""
+    """Records each message and passes it to its handler at once."""
 
     def __init__(self):
         self.sent = []
@@ -155,7 +157,7 @@
         return True
 
 
-@given_step("a node that leads the jobs and one that holds the lease without a replica of them")
+@given_step("a leader of the jobs and a lease holder without a replica of them")
 def given_remote_holder(context):
     context.now_s = 0.0
     context.transport = RecordedTransport()
@@ -164,21 +166,21 @@
     context.jobs = []
 
 
-@when("a trainer's job that allows the version before is accepted")
+@when("a trainer's job that allows the previous version is accepted")
 def when_lagging_job(context):
     context.announcer.announce(context.jobs)
     context.jobs.append(NewestJob("job", MODEL, 4, 1.0))
     context.announcer.announce(context.jobs)
 
 
-@then("the holder knows that the trainer allows the version before")
-def then_heard(context):
+@then("the holder knows that the trainer allows the previous version")
+def then_holder_knows(context):
     assert VersionLags(lambda: context.job_receiver.newest).lag_of(MODEL, 5) == 1
     assert context.job_receiver.leader_address == "leader:1"
 
 
-@then("it is told again once a second and with each job, and of nothing else")
-def then_told_rarely(context):
+@then("it receives the newest jobs only once a second and with each new job")
+def then_announced_rarely(context):
     del context.transport.sent[:]
     for _ in range(100):
         context.now_s += 0.1
@@ -189,10 +191,10 @@
     (_, news) = context.transport.sent[-1]
     assert [job.id for job in news.newest] == ["next"]
     context.now_s += 60.0
-    assert context.job_receiver.leader_address is None, "a leader that was not heard for a minute"
+    assert context.job_receiver.leader_address is None, "a leader without a message for a minute"
 
 
-@then("a holder never goes back to an older job of a model")
+@then("a holder never replaces a model's job by an older one")
 def then_no_older_job(context):
     job = st.builds(
         NewestJob,
@@ -252,7 +254,9 @@
         PlatformWorkers(),
         VersionLags(lambda: context.jobs),
         "node-1",
-        announce_weight_load=lambda worker, model, for_s: note_told(context, worker, model, for_s),
+        announce_weight_load=lambda worker, model, for_s: record_announcement(
+            context, worker, model, for_s
+        ),
     )
     context.announced = []
     records = tuple(
@@ -262,17 +266,17 @@
     view.apply_listing(Listing(1, records))
 
 
-def note_told(context, worker, model, for_s):
-    """Note what is told with the orders that the worker has got by then."""
+def record_announcement(context, worker, model, for_s):
+    """Record an announcement with the number of orders that the worker has received by then."""
     orders = next(
         len(one.record.orders) for one in context.workers if one.instance == worker.instance
     )
     context.announced.append((worker.instance, model, for_s > 0, orders))
 
 
-@then("of each worker it was told that it loads before its order came, and that it is done")
-def then_told(context):
-    step_until_at_rest(context, lambda: not context.controller._loads)
+@then("each worker's load is announced before its order arrives, and its end afterwards")
+def then_announced(context):
+    step_until(context, lambda: not context.controller._loads)
     for worker in context.workers:
         announced = [one for one in context.announced if one[0] == worker.instance]
         assert announced == [
@@ -282,21 +286,21 @@
 
 
 class BusyWorkers(PlatformWorkers):
-    """Workers that report as ever and take no order."""
+    """Workers that report as usual and accept no order."""
 
     def order(self, address, instance, order, timeout_s):
         return OrderOutcome.CONFLICT
 
 
-@given_step("no worker takes an order")
+@given_step("no worker accepts an order")
 def given_refused_orders(context):
     context.controller._control = BusyWorkers()
 
 
-@then("of no worker it stands that it loads")
-def then_nothing_stands(context):
+@then("the end of every announced load is announced")
+def then_all_ended(context):
     newest = {worker: is_loading for worker, _, is_loading, _ in context.announced}
-    assert newest, "no order was told of"
+    assert newest, "no load was announced"
     assert not any(newest.values()), newest
 
 
@@ -310,12 +314,12 @@
     make_controller(context, count, 0)
 
 
-@given_step("the trainer's jobs allow the version before")
+@given_step("the trainer's jobs allow the previous version")
 def given_lag(context):
     context.allows_before = True
 
 
-def name(context, version):
+def publish(context, version):
     context.versions.apply_listing(
         Listing(
             1, (StoredRecord("versions", MODEL, version, {"model": MODEL, "version": version}),)
@@ -323,7 +327,7 @@
     )
 
 
-def step_until_at_rest(context, done, timeout_s=20.0):
+def step_until(context, done, timeout_s=20.0):
     context.most_loading = 0
     deadline_s = time.monotonic() + timeout_s
     while not done() and time.monotonic() < deadline_s:
@@ -333,32 +337,32 @@
     assert done(), [worker.version for worker in context.workers]
 
 
-@when("version {version:d} is named")
-def when_named(context, version):
-    name(context, version)
+@when("version {version:d} is published")
+def when_published(context, version):
+    publish(context, version)
     for _ in range(3):
         context.controller.step()
 
 
-@then("all {count:d} workers hold version {version:d}, each by one order under the lease's fence")
+@then("all {count:d} workers hold version {version:d}, each after one order with the fencing token")
 def then_all_hold(context, count, version):
-    step_until_at_rest(context, lambda: all(each.version == version for each in context.workers))
+    step_until(context, lambda: all(each.version == version for each in context.workers))
     for worker in context.workers:
         orders = [(each.holder, each.fence, each.version) for each in worker.record.orders]
         assert orders == [("node-1", 17, version)]
 
 
-@then("no more than {most:d} of them loaded at once")
-def then_at_once(context, most):
+@then("at most {most:d} of them loaded concurrently")
+def then_concurrent(context, most):
     assert context.most_loading <= most == WeightLoadLimit().max_concurrent(len(context.workers))
 
 
-@when("versions {first:d} to {last:d} are named, each once the loads are done")
+@when("versions {first:d} to {last:d} are published, each after the loads of the previous one")
 def when_several(context, first, last):
     for version in range(first, last + 1):
-        name(context, version)
+        publish(context, version)
         context.jobs.append(make_job(f"job-{version}", 1, 1, minimum_version=version - 1))
-        step_until_at_rest(
+        step_until(
             context,
             lambda version=version: (
                 min(each.version for each in context.workers) >= version - 1
@@ -368,55 +372,55 @@
         )
 
 
-@then("every worker holds version 4 or 5 and at most {most:d} orders were given")
+@then("every worker holds version 4 or 5 and at most {most:d} orders were sent")
 def then_few_orders(context, most):
     assert {worker.version for worker in context.workers} <= {4, 5}
     assert sum(len(worker.record.orders) for worker in context.workers) <= most
 
 
-@then("no order is given")
+@then("no order is sent")
 def then_no_order(context):
     assert SimpleNamespace(orders=[each.record.orders for each in context.workers]).orders == [
         [] for _ in context.workers
     ]
 
 
-@given_step("each worker leaves its next order unanswered and carries it out late")
+@given_step("each worker leaves its next order unanswered and executes it late")
 def given_late(context):
     for worker in context.workers:
         worker.faults.late_orders = 1
         worker.faults.late_s = 1.2
 
 
-@when("versions {first:d} to {last:d} are named, one every half second")
-def when_named_quickly(context, first, last):
+@when("versions {first:d} to {last:d} are published, one every half second")
+def when_published_quickly(context, first, last):
     context.seen = {worker.instance: [] for worker in context.workers}
     for version in range(first, last + 1):
-        name(context, version)
+        publish(context, version)
         until_s = time.monotonic() + 0.5
         while time.monotonic() < until_s:
-            step_and_see(context)
+            step_and_record(context)
 
 
-def step_and_see(context):
+def step_and_record(context):
     context.controller.step()
     for worker in context.workers:
         context.seen[worker.instance].append(worker.version)
     time.sleep(0.02)
 
 
-@then("all workers come to version {version:d}, and none ever went back to an older one")
-def then_never_back(context, version):
+@then("all workers reach version {version:d}, and none ever returned to an older one")
+def then_never_older(context, version):
     deadline_s = time.monotonic() + 20.0
     while time.monotonic() < deadline_s:
-        step_and_see(context)
+        step_and_record(context)
         if all(each.version == version for each in context.workers):
             break
-    # Whatever is still to be carried out late has its time.
+    # Wait for the orders that are still to be executed late.
     until_s = time.monotonic() + 1.5
     while time.monotonic() < until_s:
-        step_and_see(context)
+        step_and_record(context)
     for worker in context.workers:
         seen = context.seen[worker.instance]
-        assert seen == sorted(seen), f"{worker.instance} went back: {seen}"
+        assert seen == sorted(seen), f"{worker.instance} returned to an older version: {seen}"
         assert worker.version == version
--- a/features/steps/hosted_starts_steps.py
+++ b/features/steps/hosted_starts_steps.py
@@ -1,4 +1,4 @@
-"""Workers that start again under their ids: readings, reports, orders and connections."""
+"""Restarted workers with unchanged ids: reads, reports, orders and connections."""
 
 import re
 import time
@@ -38,11 +38,11 @@
 CLOCKS_MS = st.sampled_from((0, 0, -500, -5_000, 7_000))
 STEP_S = 0.1
 ROUNDS = 200
-"""Steps within which everything must have come to rest: 20 s of the model's time."""
+"""Number of steps after which no more orders may be sent: 20 s of simulated time."""
 
 
 class Process:
-    """A process's view, fed through its state of the kind, and all starts that it has shown."""
+    """A process's view, updated through its `KindState`, and all incarnations that it has shown."""
 
     def __init__(self):
         self.workers = WorkersView()
@@ -50,7 +50,7 @@
         self.shown = {name: [] for name in NAMES}
 
     def look(self):
-        """Note what is shown; fail when a start is shown again that another one has followed."""
+        """Record the shown incarnations; fail if a former one is shown again."""
         for name, shown in self.shown.items():
             worker = self.workers.worker(name)
             if worker is not None and worker.incarnation not in shown[-1:]:
@@ -59,7 +59,7 @@
 
 
 BEHIND = st.sampled_from((0, 0, 0, 1, 2, 4, 8))
-"""Changes that a reading lacks."""
+"""Number of newest changes that a read does not include."""
 READINGS = st.one_of(
     st.tuples(st.sampled_from(("start", "start and write")), NAME, CLOCKS_MS),
     st.tuples(st.just("write"), NAME, st.just(0)),
@@ -70,10 +70,10 @@
 
 
 class Readings:
-    """Plays writes and readings of any age before a process and a peer that tells it news."""
+    """Executes writes, and reads of any age by a process and by a peer that relays to it."""
 
     def __init__(self, only_seen):
-        """With `only_seen` a start that ends writes late only if the process has shown it."""
+        """With `only_seen` an ended incarnation writes late only if the process has shown it."""
         self.world, self.process, self.peer = StartsWorld(NAMES), Process(), Process()
         self.only_seen = only_seen
         self.wrote_late = set()
@@ -101,7 +101,7 @@
             process.workers.apply_peer_copy(copied)
 
     def _write_late(self, name, number):
-        """A start that has ended writes once: it had one write under way."""
+        """Execute the one write that an ended incarnation may have had in flight."""
         former = self.world.starts[name][:-1]
         seen = self.process.shown[name]
         choice = [one for one in former if not self.only_seen or one in seen]
@@ -112,7 +112,7 @@
             self.world.put(name, entry_of(name, chosen.born_ms))
 
 
-@then("however old and by whom a reading is, no former start of a worker is shown again")
+@then("in reads of any age and source no former incarnation of a worker is shown again")
 def then_never_again(context):
     @settings(max_examples=400)
     @given(steps=st.lists(READINGS, min_size=8, max_size=40))
@@ -125,7 +125,7 @@
     never_again()
 
 
-@then("whatever was written late, a worker that goes on writing is shown as it started last")
+@then("after any late writes a worker that keeps writing is shown with its newest incarnation")
 def then_shown(context):
     @settings(max_examples=400)
     @given(steps=st.lists(READINGS, min_size=8, max_size=40))
@@ -160,14 +160,14 @@
     read(context, born_ms)
 
 
-@given_step('a view that peers told of worker "i-1" as started at {born_ms:d}')
-def given_told(context, born_ms):
+@given_step('a view copied from a peer that knows worker "i-1" as started at {born_ms:d}')
+def given_peer_copy(context, born_ms):
     context.view, context.revision = WorkersView(), 0
-    when_told(context, born_ms)
+    when_copied(context, born_ms)
 
 
-@when("a peer that is behind tells of it as started at {born_ms:d}")
-def when_told(context, born_ms):
+@when("an outdated copy of a peer shows it as started at {born_ms:d}")
+def when_copied(context, born_ms):
     context.view.apply_peer_copy({"i-1": entry_of("i-1", born_ms)})
 
 
@@ -176,8 +176,8 @@
     read(context, born_ms)
 
 
-@when("its entry lapses")
-def when_lapses(context):
+@when("its entry expires")
+def when_expires(context):
     context.revision += 1
     record = StoredRecord("servers", "i-1", context.revision, None)
     context.view.apply_change(RecordChange(record, deleted=True))
@@ -189,13 +189,13 @@
     assert context.view.worker("i-1").incarnation == Incarnation("i-1", born_ms)
 
 
-@then("it counts {count:d} starts beyond the first")
+@then("its restart count is {count:d}")
 def then_counted(context, count):
     assert context.view.restart_count == count
 
 
-class Amid:
-    """A lock that has something done once, right after it was released for the first time."""
+class CallbackLock:
+    """A lock that calls `act` once, right after its first release."""
 
     def __init__(self, lock, act):
         self.lock, self.act = lock, act
@@ -210,7 +210,7 @@
             act()
 
 
-@then("a change that is taken amid the dropping of overdue workers is kept")
+@then("a change that is applied while expired workers are dropped is kept")
 def then_kept(context):
     now = [0.0]
     view = WorkersView(now_s=lambda: now[0])
@@ -220,7 +220,9 @@
     view.apply_change(RecordChange(gone, deleted=True))
     now[0] = 3.0
     came = StoredRecord("servers", "i-2", 3, entry_of("i-2", 5_000))
-    view._lock = Amid(view._lock, lambda: view.apply_change(RecordChange(came, deleted=False)))
+    view._lock = CallbackLock(
+        view._lock, lambda: view.apply_change(RecordChange(came, deleted=False))
+    )
     view.drop_expired()
     assert [worker.instance for worker in view.all()] == ["i-2"]
     assert set(view.specs()) == {"i-2"}
@@ -235,7 +237,7 @@
 
 
 class Rollouts:
-    """A controller before a world of workers, with a clock of its own."""
+    """A controller of simulated workers, with a simulated clock."""
 
     def __init__(self, names=NAMES):
         self.now_s = 0.0
@@ -310,7 +312,7 @@
         world.loses.append(what)
 
 
-@then("no version counts for a start of a worker that another start had")
+@then("no version counts for an incarnation of a worker that did not hold it")
 def then_own_versions(context):
     @settings(max_examples=400)
     @given(steps=st.lists(ORDERS, min_size=8, max_size=50))
@@ -326,7 +328,7 @@
     own_versions()
 
 
-@then("in the end every worker holds the newest version, whatever late orders did")
+@then("finally every worker holds the newest version, whichever orders were executed late")
 def then_newest(context):
     @settings(max_examples=400)
     @given(steps=st.lists(ORDERS, min_size=8, max_size=50))
@@ -353,21 +355,21 @@
     newest()
 
 
-@given_step("a worker whose report comes from a start that its entry does not tell yet")
+@given_step("a worker whose report comes from a newer incarnation than its entry")
 def given_unknown_start(context):
     context.rollouts = Rollouts(("i-1",))
     context.rollouts.world.start("i-1", 0)
     context.rollouts.world.workers["i-1"].version = 2
 
 
-@when("a version is named that this start holds")
+@when("a version that this incarnation holds is published")
 def when_held(context):
     context.rollouts.name(2)
     for _ in range(30):
         context.rollouts.step()
 
 
-@then("the version does not count for the start that the entry tells, and no order is given")
+@then("the version does not count for the incarnation of the entry, and no order is sent")
 def then_not_counted(context):
     assert context.rollouts.held("i-1") == 1
     assert context.rollouts.world.orders == []
@@ -375,38 +377,35 @@
     assert context.rollouts.held("i-1") == 2
 
 
-@given_step(
-    "a worker with version 3 that started again, its report told and its entry not yet rewritten"
-)
-def given_told_start(context):
+@given_step("a restarted worker that has reported version 3 and not yet rewritten its entry")
+def given_reported_restart(context):
     rollouts = context.rollouts = Rollouts(("i-1",))
     world = rollouts.world
     world.loses = ["late"]
     rollouts.name(2)
     rollouts.step()
     assert len(world.late) == 1
-    # The former start comes to version 3 by itself, ends, and the new one tells of version 2 in
-    # the entry that its report of version 3 follows.
+    # The restarted worker writes an entry with version 2, then loads version 3 and reports it.
     world.start("i-1", 0)
     world.workers["i-1"].version = 2
     rollouts.beat()
     world.workers["i-1"].version = 3
-    world._note(world.workers["i-1"])
+    world._record_version(world.workers["i-1"])
     rollouts.name(3)
     rollouts.step()
     assert rollouts.held("i-1") == 3
 
 
-@when("the order for version 2 to its former start is carried out")
+@when("the order for version 2 to its former incarnation is executed")
 def when_late(context):
     world = context.rollouts.world
     world.deliver(0)
     assert world.workers["i-1"].version == 2
     context.rollouts.beat()
-    assert context.rollouts.held("i-1") == 3, "the report is younger than the entry may be"
+    assert context.rollouts.held("i-1") == 3, "the report still takes precedence over the entry"
 
 
-@then("it is ordered to version 3 again once its report counts no more")
+@then("it is ordered to load version 3 again once its report has expired")
 def then_ordered_again(context):
     rollouts = context.rollouts
     until_s = rollouts.now_s + REPORT_TTL_S + 1.0
@@ -415,25 +414,25 @@
     assert rollouts.world.workers["i-1"].version == 3
 
 
-@given_step("a worker behind a gateway, with resting connections between them")
-def given_resting(context):
+@given_step("a worker behind a gateway, with idle connections between them")
+def given_idle_connections(context):
     context.worker = WorkerStandIn("i-1")
     context.cleanup.callback(context.worker.close)
     context.gateway = GatewayUnderTest([context.worker])
     context.cleanup.callback(context.gateway.close)
     assert context.gateway.send("/single/x").status == 200
     connections = context.gateway._connections
-    context.wait_until(lambda: connections.has_idle(context.worker.address), "it rests")
+    context.wait_until(lambda: connections.has_idle(context.worker.address), "an idle connection")
 
 
-@when("the worker starts again behind a cut, its former connections silent, and its entry is read")
-def when_behind_cut(context):
+@when("the worker restarts while its former connections stay silent, and its new entry is read")
+def when_silent_restart(context):
     context.worker.go_dark()
     context.worker.start_again()
     context.gateway.show_workers({"i-1": context.worker.entry("app")})
 
 
-@then("the next request that must not be repeated runs once, at the new start, and is answered")
+@then("the next non-idempotent request runs once, at the new incarnation, and is answered")
 def then_new_connection(context):
     answer = context.gateway.send("/single/x")
     assert answer.status == 200, (answer.status, answer.body)
@@ -443,7 +442,7 @@
 EVENTS = 12
 
 
-@given_step("a worker process beside another worker, a gateway and a controller of roll-outs")
+@given_step("a worker process, another worker, a gateway and a rollout controller")
 def given_process(context):
     process = context.process = WorkerProcess("i-1", MODEL, context.folder / "ran")
     context.cleanup.callback(process.close)
@@ -470,7 +469,7 @@
 
 
 def send_to_process(context, path):
-    """Send a request that goes to the process first; its answer's future."""
+    """Send a request that goes to the process first; return the future of its answer."""
     gateway = context.gateway
     other = gateway.workers.worker("i-2")
     gateway.loads.choose([other], ())
@@ -481,7 +480,7 @@
     return sent
 
 
-@when("it is killed and started again amid a stream, a request, a text and an order")
+@when("it is killed and restarted during a stream, a request, a text generation and an order")
 def when_killed(context):
     context.pool = context.cleanup.enter_context(ThreadPoolExecutor(3))
     gateway, process = context.gateway, context.process
@@ -496,21 +495,21 @@
     text = context.pool.submit(
         context.attempts.run_generation, context.progress, worker, Cancellation()
     )
-    context.wait_until(lambda: context.progress.events > 0, "the text begins")
+    context.wait_until(lambda: context.progress.events > 0, "the start of the text")
 
     def is_ordered():
         context.controller.step()
         load = context.controller._loads.get(context.former)
         return load is not None and load.accepted_s is not None
 
-    context.wait_until(is_ordered, "the order is taken")
+    context.wait_until(is_ordered, "the order to be accepted")
     process.kill_and_start()
     text.result()
     gateway.show_workers({"i-1": process.entry("app"), "i-2": context.other.entry("app")})
 
 
-@then("the stream that may be resumed comes whole, and the text goes on at the new start")
-def then_whole(context):
+@then("the resumable stream is complete, and the text continues at the new incarnation")
+def then_complete(context):
     stream = context.stream.result()
     told = re.sub(rb"(?m)^x-bellweir-weight-versions: \d+\n", b"", stream.body)
     wanted = b"".join(event_of(stream.request_id, each) for each in range(1, EVENTS + 1))
@@ -523,7 +522,7 @@
     assert "\n".join(text.pieces) == text_of(text.item.id, EVENTS)
 
 
-@then("the request that must not be repeated ran once and is not said to be refused")
+@then("the non-idempotent request ran once and is not answered as refused")
 def then_once(context):
     answer = context.single.result()
     ran = context.process.ran().count(answer.request_id)
@@ -531,8 +530,8 @@
     assert answer.status == 502, answer.status
 
 
-@then("nothing that was known of the former start counts for the new one, which is ordered anew")
-def then_unknown(context):
+@then("no state of the former incarnation applies to the new one, which gets its own order")
+def then_no_former_state(context):
     loads, worker = context.gateway.loads, context.gateway.workers.worker("i-1")
     assert worker.incarnation != context.former
     assert loads._load(context.former).failures >= 3
@@ -544,14 +543,14 @@
         context.controller.step()
         return context.controller.held_version(worker, MODEL) == 2
 
-    context.wait_until(is_loaded, "the new start holds the version")
+    context.wait_until(is_loaded, "the new incarnation to hold the version")
     assert context.former not in context.controller._loads
     report = PlatformWorkers().report(worker.address, 5.0)
     assert (report.born_ms, report.sequence) == (worker.incarnation.born_ms, 1)
 
 
-def next_after_former(kind, max_attempts):
-    """The worker for a request that may have run at a former start of the only worker."""
+def next_worker_after_restart(kind, max_attempts):
+    """Return the worker for a request that may have run at a former incarnation of it."""
     workers, loads = WorkersView(), WorkerLoads("a")
     record = StoredRecord("servers", "i-1", 2, entry_of("i-1", 9_000))
     workers.apply_listing(Listing(2, (record,)))
@@ -565,14 +564,14 @@
     return forwarder._next_worker(client, [workers.ready("llm")], progress)
 
 
-@then("it is not asked of the new start unless it may be repeated")
+@then("it is sent to the new incarnation only if it is idempotent")
 def then_not_asked(context):
-    assert next_after_former(RouteKind.NON_IDEMPOTENT, 3) is None
-    found = next_after_former(RouteKind.IDEMPOTENT, 3)
+    assert next_worker_after_restart(RouteKind.NON_IDEMPOTENT, 3) is None
+    found = next_worker_after_restart(RouteKind.IDEMPOTENT, 3)
     assert found.incarnation == Incarnation("i-1", 9_000)
 
 
-@then("both starts count for the most workers that it may go to")
+@then("both incarnations count towards its maximum number of attempts")
 def then_both_count(context):
-    assert next_after_former(RouteKind.IDEMPOTENT, 1) is None
-    assert next_after_former(RouteKind.IDEMPOTENT, 2) is not None
+    assert next_worker_after_restart(RouteKind.IDEMPOTENT, 1) is None
+    assert next_worker_after_restart(RouteKind.IDEMPOTENT, 2) is not None
--- a/features/support/starts_world.py
+++ b/features/support/starts_world.py
@@ -1,4 +1,4 @@
-"""Workers that start again, the store with its history, and calls to them, in one thread."""
+"""Simulated workers that restart, and the store with its history, in one thread."""
 
 from types import SimpleNamespace
 
@@ -33,7 +33,7 @@
 
 
 class StartsWorld(WorkerControl):
-    """The truth: each worker's newest start, all that was written, orders on their way."""
+    """Actual state: each worker's newest incarnation, all writes and the orders in transit."""
 
     def __init__(self, names):
         self.revision = 0
@@ -42,21 +42,21 @@
         """Revision, all records as of it, and the change that made it."""
         self.workers = {}
         self.had = {}
-        """Versions that each incarnation ever held."""
+        """All versions that each incarnation has held."""
         self.starts = {name: [] for name in names}
         self.late = []
         self.orders = []
         self.loses = []
-        """What becomes of the next orders: "late", "unanswered"; else they are taken."""
+        """Outcomes of the next orders, "late" or "unanswered"; further orders are accepted."""
         self.old_reports = 0
-        """How many of the next reports come from the former start."""
+        """Number of next reports that come from the former incarnation."""
         self.clock_ms = FIRST_BORN_MS
         for name in names:
             self.start(name, 0)
             self.write(name)
 
     def start(self, name, clock_ms):
-        """Start a worker, its clock off by so much against the last; it keeps its version."""
+        """Start a worker with its clock offset by `clock_ms`; it keeps its version."""
         self.clock_ms += 1_000
         before = self.workers.get(name)
         born_ms = self.clock_ms + clock_ms
@@ -69,9 +69,9 @@
             former=before,
         )
         self.starts[name].append(self.workers[name].incarnation)
-        self._note(self.workers[name])
+        self._record_version(self.workers[name])
 
-    def _note(self, worker):
+    def _record_version(self, worker):
         self.had.setdefault(worker.incarnation, set()).add(worker.version)
 
     def write(self, name):
@@ -98,9 +98,9 @@
 
     def changes(self, since, behind):
         last = max(0, len(self.history) - 1 - behind)
-        told = [one for one in self.history[: last + 1] if since is not None and one[0] > since]
-        changes = tuple(change for _, _, change in told)
-        return Changes(told[-1][0] if told else since or 0, changes)
+        included = [one for one in self.history[: last + 1] if since is not None and one[0] > since]
+        changes = tuple(change for _, _, change in included)
+        return Changes(included[-1][0] if included else since or 0, changes)
 
     def report(self, address, timeout_s):
         worker = self.workers[address.partition(":")[0]]
@@ -120,18 +120,18 @@
         if what == "late":
             self.late.append((instance, order))
             return OrderOutcome.UNKNOWN
-        answer = self._carry_out(instance, order)
+        answer = self._execute(instance, order)
         return OrderOutcome.UNKNOWN if what == "unanswered" else answer
 
     def reset_connections(self, address):
         pass
 
     def deliver(self, which):
-        """Carry a late order out, at whatever start is there now."""
+        """Execute a late order at the current incarnation."""
         if self.late:
-            self._carry_out(*self.late.pop(which % len(self.late)))
+            self._execute(*self.late.pop(which % len(self.late)))
 
-    def _carry_out(self, instance, order):
+    def _execute(self, instance, order):
         worker = self.workers[instance]
         if order.expected_sequence not in (None, worker.sequence):
             return OrderOutcome.CONFLICT
@@ -139,5 +139,5 @@
             return OrderOutcome.IN_FORCE
         worker.sequence += 1
         worker.version = order.version
-        self._note(worker)
+        self._record_version(worker)
         return OrderOutcome.ACCEPTED
