--- a/src/bellweir/hosted/room/interface.py
+++ b/src/bellweir/hosted/room/interface.py
@@ -20,7 +20,7 @@
         """`in_flight`: requests running or waiting at the worker.
 
         `service_time_s`: time for which a request occupies a slot, 0 while unknown. `age_s`: age of
-        the oldest report that the figures rest on.
+        the report that `in_flight` rests on, 0 if it counts own requests only.
         """
         self.slots = max(1, slots)
         self.in_flight = in_flight
--- a/src/bellweir/hosted/views/follower.py
+++ b/src/bellweir/hosted/views/follower.py
@@ -46,7 +46,7 @@
 MIN_OUTAGE_S = 1.0
 """Shorter outages let no entry expire, which takes three missed heartbeats."""
 RECOVERY_GRACE_S = 2.0
-"""Time after a recovery within which a live worker rewrites its expired entry (NEWS-23)."""
+"""Time after a recovery within which a live worker rewrites its expired entry."""
 MIN_RELIST_INTERVAL_S = 1.0
 """Minimum time between lists that are caused by undecodable changes."""
 IDLE_POLL_INTERVAL_S = 0.25
